--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -13,9 +13,9 @@
 
 /// Clock of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SystemClock;
+pub struct MonotonicClock;
 
-impl Clock for SystemClock {
+impl Clock for MonotonicClock {
     fn now(&self) -> Instant {
         Instant::now()
     }
--- a/crates/coord/src/failover.rs
+++ b/crates/coord/src/failover.rs
@@ -264,7 +264,7 @@
         let deaf = |member: &MemberKnowledge| {
             member.fresh_status(now).is_some_and(|status| {
                 status.position.role != MemberRole::Primary
-                    && Duration::from_millis(status.heard_ms) >= SILENCE_LIMIT
+                    && Duration::from_millis(status.last_contact_ms) >= SILENCE_LIMIT
             })
         };
         (0..self.members.len()).filter(|index| deaf(&self.members[*index])).collect()
@@ -332,7 +332,7 @@
             return Vec::new();
         }
         let held = |index: &MemberIndex| -> Option<LogPosition> {
-            fenced[*index].map(|status| status.held())
+            fenced[*index].map(|status| status.last_entry())
         };
         let best = (0..fenced.len()).filter(|index| fenced[*index].is_some()).max_by_key(held);
         let (Some(candidate), term) = (best, *term) else {
--- a/crates/coord/src/freshness.rs
+++ b/crates/coord/src/freshness.rs
@@ -44,7 +44,7 @@
 
     /// Records the position of a member and raises the time up to which it is complete.
     pub fn record_member(&mut self, member: usize, position: &MemberPosition) {
-        let covered = |proved: &&ProvedPosition| position.covers(proved.position);
+        let covered = |proved: &&ProvedPosition| position.has_applied(proved.position);
         let latest = self.proved.iter().rev().find(covered).map(|proved| proved.asked_at);
         if let Some(complete) = self.complete.get_mut(member) {
             *complete = (*complete).max(latest);
--- a/crates/coord/src/ledger.rs
+++ b/crates/coord/src/ledger.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 
 use slotmap::SecondaryMap;
-use state::catalog::TeamKey;
+use state::catalog::TeamId;
 
 /// The whole of a team's rate and burst, in parts.
 pub const WHOLE: u64 = 1_000_000;
@@ -70,9 +70,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct ShareLedger {
     epoch: u64,
-    accounts: SecondaryMap<TeamKey, ShareAccount>,
+    accounts: SecondaryMap<TeamId, ShareAccount>,
     /// What was reported when the epoch was entered, so a repeated question gets the same answer.
-    reported: Vec<(TeamKey, u64)>,
+    reported: Vec<(TeamId, u64)>,
     /// Last epoch for which this instance issued what nobody reported.
     issued_epoch: u64,
     provisional: bool,
@@ -85,29 +85,29 @@
     }
 
     /// Returns the share of a team.
-    pub fn share(&self, team: TeamKey) -> u64 {
+    pub fn share(&self, team: TeamId) -> u64 {
         self.accounts.get(team).map_or(0, ShareAccount::share)
     }
 
     /// Sets what callers ask for, as a part of the team's rate.
-    pub fn set_demand(&mut self, team: TeamKey, demand: f64) {
+    pub fn set_demand(&mut self, team: TeamId, demand: f64) {
         self.account(team).demand = demand;
     }
 
     /// Returns what callers ask for, as a part of the team's rate.
-    pub fn demand(&self, team: TeamKey) -> f64 {
+    pub fn demand(&self, team: TeamId) -> f64 {
         self.accounts.get(team).map_or(0.0, |account| account.demand)
     }
 
     /// Forgets a team that is no longer declared.
-    pub fn remove(&mut self, team: TeamKey) {
+    pub fn remove(&mut self, team: TeamId) {
         self.accounts.remove(team);
     }
 
     /// Enters a higher epoch with the shares held now, and returns the report of them.
     ///
     /// A question that was answered before gets the same report; one about a lower epoch none.
-    pub fn enter_epoch(&mut self, epoch: u64) -> Option<&[(TeamKey, u64)]> {
+    pub fn enter_epoch(&mut self, epoch: u64) -> Option<&[(TeamId, u64)]> {
         if epoch < self.epoch {
             return None;
         }
@@ -165,13 +165,13 @@
     }
 
     /// Adds parts that nobody holds in the current epoch.
-    pub fn issue(&mut self, team: TeamKey, share: u64) {
+    pub fn issue(&mut self, team: TeamId, share: u64) {
         self.account(team).issued += share;
     }
 
     /// Returns the parts that a taker gets when it asks: afterwards giver and taker have about the
     /// same ratio of share to demand.
-    pub fn plan_gift(&self, team: TeamKey, taker_share: u64, taker_demand: f64) -> u64 {
+    pub fn plan_gift(&self, team: TeamId, taker_share: u64, taker_demand: f64) -> u64 {
         let Some(account) = self.accounts.get(team).filter(|_| !self.provisional) else {
             return 0;
         };
@@ -183,7 +183,7 @@
     /// The bucket must have shrunk before the totals are sent.
     pub fn give(
         &mut self,
-        team: TeamKey,
+        team: TeamId,
         taker: Incarnation,
         part: u64,
         tokens: f64,
@@ -202,7 +202,7 @@
     /// Takes what a giver's totals add to those taken before, in the same epoch only.
     pub fn take(
         &mut self,
-        team: TeamKey,
+        team: TeamId,
         giver: Incarnation,
         epoch: u64,
         totals: MovedTotals,
@@ -221,7 +221,7 @@
     }
 
     /// Records that a taker has taken parts up to `share`, in the same epoch only.
-    pub fn acknowledge(&mut self, team: TeamKey, taker: Incarnation, epoch: u64, share: u64) {
+    pub fn acknowledge(&mut self, team: TeamId, taker: Incarnation, epoch: u64, share: u64) {
         if epoch == self.epoch {
             let acknowledged = self.account(team).acknowledged.entry(taker).or_default();
             *acknowledged = share.max(*acknowledged);
@@ -229,8 +229,8 @@
     }
 
     /// Returns the totals that a taker has not acknowledged yet.
-    pub fn unacknowledged(&self, taker: Incarnation) -> Vec<(TeamKey, MovedTotals)> {
-        let pending = |(team, account): (TeamKey, &ShareAccount)| {
+    pub fn unacknowledged(&self, taker: Incarnation) -> Vec<(TeamId, MovedTotals)> {
+        let pending = |(team, account): (TeamId, &ShareAccount)| {
             let totals = account.given.get(&taker).copied()?;
             let known = account.acknowledged.get(&taker).copied().unwrap_or_default();
             (totals.share > known).then_some((team, totals))
@@ -239,12 +239,12 @@
     }
 
     /// Returns the parts taken from a giver, by which it learns what arrived.
-    pub fn taken_from(&self, team: TeamKey, giver: Incarnation) -> u64 {
+    pub fn taken_from(&self, team: TeamId, giver: Incarnation) -> u64 {
         let account = self.accounts.get(team);
         account.and_then(|account| account.taken.get(&giver)).map_or(0, |totals| totals.share)
     }
 
-    fn account(&mut self, team: TeamKey) -> &mut ShareAccount {
+    fn account(&mut self, team: TeamId) -> &mut ShareAccount {
         if !self.accounts.contains_key(team) {
             self.accounts.insert(team, ShareAccount::default());
         }
@@ -252,7 +252,7 @@
     }
 
     /// Replaces every account by its share, which is issued anew in the next epoch.
-    fn fold(&mut self) -> Vec<(TeamKey, u64)> {
+    fn fold(&mut self) -> Vec<(TeamId, u64)> {
         let mut report = Vec::new();
         for (team, account) in &mut self.accounts {
             let share = account.share();
--- a/crates/coord/src/quota.rs
+++ b/crates/coord/src/quota.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use state::bucket::{BucketDelay, TokenBucket};
+use state::bucket::{InsufficientTokens, TokenBucket};
 
 /// Pause after which a counter assumes that another one stood in for it.
 const COUNTING_GAP: Duration = Duration::from_millis(800);
@@ -116,7 +116,7 @@
         patience: Duration,
         full_start: bool,
         now: Instant,
-    ) -> Result<Duration, BucketDelay> {
+    ) -> Result<Duration, InsufficientTokens> {
         let start_tokens = limit.start_tokens(self.window) * self.reach;
         let (rate, burst) = limit.shaped(self.window);
         let (rate, burst) = (rate * self.reach, (burst * self.reach).max(1.0));
@@ -124,7 +124,7 @@
             Some(bucket) => bucket,
             None => {
                 let mut bucket = TokenBucket::empty(rate, burst, now);
-                bucket.deposit(if full_start { burst } else { start_tokens }, now);
+                bucket.add_tokens(if full_start { burst } else { start_tokens }, now);
                 self.buckets.entry(team.to_owned()).or_insert(bucket)
             }
         };
--- a/crates/coord/src/routing.rs
+++ b/crates/coord/src/routing.rs
@@ -76,7 +76,7 @@
         return false;
     }
     match needs.seen {
-        Some(seen) => view.position.covers(seen),
+        Some(seen) => view.position.has_applied(seen),
         None => complete_at >= needs.began_at,
     }
 }
--- a/crates/coord/tests/decisions.rs
+++ b/crates/coord/tests/decisions.rs
@@ -48,7 +48,7 @@
                 && view.position.role != MemberRole::Primary
                 && needs.stated_age.is_some_and(young)
                 && match needs.seen {
-                    Some(seen) => view.position.covers(seen),
+                    Some(seen) => view.position.has_applied(seen),
                     None => view.complete_at.is_some_and(|at| at >= needs.began_at),
                 }
         };
@@ -258,7 +258,7 @@
         promised: 1,
         last_term: 1,
         received,
-        heard_ms,
+        last_contact_ms: heard_ms,
     };
     let now = Instant::now();
     let mut machine = FailoverMachine::new(3);
--- a/crates/coord/tests/failover_fuzz.rs
+++ b/crates/coord/tests/failover_fuzz.rs
@@ -51,7 +51,7 @@
             promised: self.promised,
             last_term: self.log.last().map_or(0, |(term, _)| *term),
             received: applied,
-            heard_ms: match self.role {
+            last_contact_ms: match self.role {
                 MemberRole::Primary => 0,
                 _ => now.duration_since(self.heard).as_millis() as u64,
             },
--- a/crates/coord/tests/ledger_fuzz.rs
+++ b/crates/coord/tests/ledger_fuzz.rs
@@ -9,7 +9,7 @@
 use coord::ledger::{MovedTotals, ShareLedger, WHOLE};
 use slotmap::SlotMap;
 use state::bucket::TokenBucket;
-use state::catalog::TeamKey;
+use state::catalog::TeamId;
 
 const INSTANCES: usize = 4;
 const RATE: f64 = 100.0;
@@ -60,7 +60,7 @@
 }
 
 struct Model {
-    team: TeamKey,
+    team: TeamId,
     instances: Vec<ModelInstance>,
     messages: Vec<Message>,
     stored_epoch: u64,
@@ -74,7 +74,7 @@
 
 impl Model {
     fn new(rule: BrokenRule) -> Self {
-        let mut keys: SlotMap<TeamKey, ()> = SlotMap::with_key();
+        let mut keys: SlotMap<TeamId, ()> = SlotMap::with_key();
         let team = keys.insert(());
         let now = Instant::now() + Duration::from_secs(60);
         let mut model = Self {
@@ -257,7 +257,7 @@
         let part = instance.ledger.plan_gift(team, taker_share, 0.4);
         let part = part.min(own);
         let wanted = instance.bucket.available(now) * part as f64 / own.max(1) as f64;
-        let tokens = instance.bucket.withdraw(wanted, now);
+        let tokens = instance.bucket.take_up_to(wanted, now);
         let totals = instance.ledger.give(team, taker_id, part, tokens);
         if rule == BrokenRule::GiveWithoutShrinking {
             instance.ledger.issue(team, part);
@@ -292,7 +292,7 @@
         }
         self.resize(message.to);
         if let Some(grant) = grant {
-            self.instances[message.to].bucket.deposit(grant.tokens, now);
+            self.instances[message.to].bucket.add_tokens(grant.tokens, now);
         }
     }
 
--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -6,7 +6,7 @@
 
 use admin::api::{self, AdminError};
 use admin::settings::{AdminSettings, OperatorCredential};
-use clock::SystemClock;
+use clock::MonotonicClock;
 use net::platform::{PlatformClient, PlatformError};
 use net::store::{DocumentStore, StoreError};
 use proxy::instance::{self, InstanceError, RunningInstance};
@@ -186,7 +186,7 @@
     async fn start_instance(&mut self, settings: ProxySettings) -> Result<(), LabError> {
         let (name, zone) = (settings.instance.clone(), settings.zone.clone());
         let runtime = self.options.proxy_runtime.clone().unwrap_or_else(Handle::current);
-        let start = instance::start(settings, Arc::new(SystemClock));
+        let start = instance::start(settings, Arc::new(MonotonicClock));
         let running = runtime.spawn(start).await.map_err(|_| LabError::Slow)??;
         let address = running.peer_address;
         let relay = TcpRelay::start(address).await.context(ListenSnafu { address })?;
--- a/crates/lab/src/profile.rs
+++ b/crates/lab/src/profile.rs
@@ -4,7 +4,9 @@
 
 use clap::ValueEnum;
 use state::credential::KeyHash;
-use state::document::{DatabaseSection, Document, FORMAT, RouteKind, RouteSection, TeamSection};
+use state::document::{
+    DatabaseSection, Document, FORMAT_VERSION, RouteKind, RouteSection, TeamSection,
+};
 
 /// Name of a deployment.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, ValueEnum)]
@@ -91,7 +93,7 @@
             ..TeamSection::default()
         };
         Document {
-            format: FORMAT,
+            format: FORMAT_VERSION,
             teams: self.teams.iter().zip(keys).map(team).chain([open]).collect(),
             databases: self.databases.iter().map(|name| self.database(name)).collect(),
             routes: self.databases.iter().flat_map(|name| self.routes(name)).collect(),
--- a/crates/lab/tests/administration.rs
+++ b/crates/lab/tests/administration.rs
@@ -134,7 +134,7 @@
         digest: digest.to_owned(),
         request: request.to_owned(),
     };
-    let never = state::credential::digest_text(SECOND.as_bytes());
+    let never = state::credential::sha256_hex(SECOND.as_bytes());
     let refused = post(platform.production, "/v1/promote", &promote(&never, "p1")).await;
     let reply: ErrorReply = read(refused, StatusCode::CONFLICT).await;
     assert_eq!(reply.error, "never_tried");
--- a/crates/lab/tests/limits.rs
+++ b/crates/lab/tests/limits.rs
@@ -80,7 +80,7 @@
     let name = environment.options.profile.teams[team].name;
     let share = |running: &proxy::instance::RunningInstance| {
         let catalog = running.instance.catalog();
-        let key = catalog.team_key(name).expect("the team is declared");
+        let key = catalog.team_id(name).expect("the team is declared");
         let shares = running.instance.book.shares(&catalog);
         shares.iter().find(|(team, _)| *team == key).map_or(0, |(_, share)| *share)
     };
--- a/crates/load/src/capacity.rs
+++ b/crates/load/src/capacity.rs
@@ -10,8 +10,8 @@
 use prost::Message as _;
 use serde::Serialize;
 use slotmap::SlotMap;
-use state::catalog::{DocumentCatalog, TeamKey};
-use state::document::{DatabaseSection, Document, FORMAT, TeamSection};
+use state::catalog::{DocumentCatalog, TeamId};
+use state::document::{DatabaseSection, Document, FORMAT_VERSION, TeamSection};
 use state::position::{MemberPosition, MemberRole, MemberStatus};
 use tokio::runtime::Builder;
 use wire::peer::{BeatRequest, InstanceSummary, TeamShare};
@@ -105,7 +105,7 @@
         ..DatabaseSection::default()
     };
     Document {
-        format: FORMAT,
+        format: FORMAT_VERSION,
         teams: (0..size).map(team).collect(),
         databases: (0..size).map(database).collect(),
         routes: Vec::new(),
@@ -137,7 +137,7 @@
         promised: 1,
         last_term: 1,
         received: index,
-        heard_ms: 10,
+        last_contact_ms: 10,
     };
     let mut machines: Vec<FailoverMachine> =
         (0..databases).map(|_| FailoverMachine::new(3)).collect();
@@ -153,8 +153,8 @@
 }
 
 fn ledger_time(teams: usize, time: Duration) -> f64 {
-    let mut keys: SlotMap<TeamKey, ()> = SlotMap::with_key();
-    let keys: Vec<TeamKey> = (0..teams).map(|_| keys.insert(())).collect();
+    let mut keys: SlotMap<TeamId, ()> = SlotMap::with_key();
+    let keys: Vec<TeamId> = (0..teams).map(|_| keys.insert(())).collect();
     let mut ledger = ShareLedger::default();
     ledger.enter_epoch(1);
     keys.iter().for_each(|key| ledger.issue(*key, WHOLE / 2));
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -6,7 +6,7 @@
 use coord::queue::{FairQueue, QueueRefusal};
 use parking_lot::Mutex;
 use snafu::Snafu;
-use state::catalog::TeamKey;
+use state::catalog::TeamId;
 use tokio::sync::oneshot;
 use tokio::time::timeout_at;
 use wire::group::TOO_MANY_CONNECTIONS;
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 struct PoolPermit {
     pool: Arc<PoolShared>,
-    team: TeamKey,
+    team: TeamId,
     since: Instant,
 }
 
@@ -58,7 +58,7 @@
 
 #[derive(Debug)]
 struct PoolState {
-    queue: FairQueue<TeamKey, oneshot::Sender<PoolPermit>>,
+    queue: FairQueue<TeamId, oneshot::Sender<PoolPermit>>,
     idle: Vec<MemberConnection>,
     /// Raised when every idle connection became useless.
     epoch: u64,
@@ -160,7 +160,7 @@
     /// Takes a connection, waiting for the team's turn until `deadline`.
     pub async fn take(
         &self,
-        team: TeamKey,
+        team: TeamId,
         deadline: Instant,
     ) -> Result<PooledConnection, PoolError> {
         let permit = self.take_permit(team, deadline).await?;
@@ -182,7 +182,7 @@
         }
     }
 
-    async fn take_permit(&self, team: TeamKey, deadline: Instant) -> Result<PoolPermit, PoolError> {
+    async fn take_permit(&self, team: TeamId, deadline: Instant) -> Result<PoolPermit, PoolError> {
         let now = Instant::now();
         let receiver = {
             let mut state = self.shared.state.lock();
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt as _, ResultExt as _, Snafu};
-use state::credential::digest_text;
+use state::credential::sha256_hex;
 use wire::platform::{RowCheck, RowWrite, TableRow, TableTransaction, TransactionReply};
 
 use crate::platform::{ObjectStore, PlatformError, TableService};
@@ -91,7 +91,7 @@
         let digest = &head.digest;
         let bytes = self.platform.get(object_name(digest)).await?;
         let text = bytes.and_then(|bytes| String::from_utf8(bytes).ok());
-        let text = text.filter(|text| digest_text(text.as_bytes()) == *digest);
+        let text = text.filter(|text| sha256_hex(text.as_bytes()) == *digest);
         text.context(BodySnafu { digest })
     }
 
@@ -128,7 +128,7 @@
         if let Some((head, _)) = current.filter(|_| revision != expected) {
             return Ok(ReplaceOutcome::Conflict(head));
         }
-        let digest = digest_text(text.as_bytes());
+        let digest = sha256_hex(text.as_bytes());
         self.platform.put(object_name(&digest), text.as_bytes().to_vec()).await?;
         let head = DocumentHead {
             revision: expected + 1,
--- a/crates/proxy/src/allotment.rs
+++ b/crates/proxy/src/allotment.rs
@@ -7,7 +7,7 @@
 use coord::ledger::{self, Incarnation, MovedTotals, ShareLedger, WHOLE};
 use parking_lot::Mutex;
 use slotmap::SecondaryMap;
-use state::catalog::{DocumentCatalog, TeamEntry, TeamKey};
+use state::catalog::{DocumentCatalog, TeamEntry, TeamId};
 use tokio::sync::Notify;
 use wire::peer::{HeldShare, TeamShare};
 
@@ -24,7 +24,7 @@
     /// Buckets of the instance.
     pub limiter: &'a TeamLimiter,
     /// Key of the team.
-    pub key: TeamKey,
+    pub key: TeamId,
     /// Declared limits of the team.
     pub entry: &'a TeamEntry,
 }
@@ -53,7 +53,7 @@
         }
         let tokens = self.limiter.update(self.key, now, |bucket| {
             let moved = bucket.available(now) * part as f64 / own as f64;
-            bucket.withdraw(moved, now)
+            bucket.take_up_to(moved, now)
         });
         let totals = ledger.give(self.key, taker, part, tokens);
         self.resize(ledger, now);
@@ -67,7 +67,7 @@
     ledger: Mutex<ShareLedger>,
     measured_at: Mutex<Option<Instant>>,
     shortage: Notify,
-    short_teams: Mutex<SecondaryMap<TeamKey, ()>>,
+    short_teams: Mutex<SecondaryMap<TeamId, ()>>,
     arrived: Notify,
     issued: Mutex<IssuedTeams>,
 }
@@ -120,13 +120,13 @@
     }
 
     /// Notes that a team had no token, and wakes the task that asks for more.
-    pub fn note_shortage(&self, team: TeamKey) {
+    pub fn note_shortage(&self, team: TeamId) {
         self.short_teams.lock().insert(team, ());
         self.shortage.notify_one();
     }
 
     /// Waits for a shortage and returns the teams concerned.
-    pub async fn wait_for_shortage(&self) -> Vec<TeamKey> {
+    pub async fn wait_for_shortage(&self) -> Vec<TeamId> {
         self.shortage.notified().await;
         let short = std::mem::take(&mut *self.short_teams.lock());
         short.keys().collect()
@@ -138,13 +138,13 @@
     }
 
     /// Returns the share of a team and its demand.
-    pub fn holding(&self, team: TeamKey) -> (u64, f64) {
+    pub fn holding(&self, team: TeamId) -> (u64, f64) {
         let ledger = self.ledger.lock();
         (ledger.share(team), ledger.demand(team))
     }
 
     /// Returns share and demand with which this instance asks for more.
-    pub fn ask_terms(&self, team: TeamKey) -> (u64, f64) {
+    pub fn ask_terms(&self, team: TeamId) -> (u64, f64) {
         let ledger = self.ledger.lock();
         let share = ledger.share(team);
         let held = share as f64 / WHOLE as f64;
@@ -152,7 +152,7 @@
     }
 
     /// Returns the parts that asking a peer is expected to bring.
-    pub fn expected_gift(&self, team: TeamKey, peer_share: u64, peer_demand: f64) -> u64 {
+    pub fn expected_gift(&self, team: TeamId, peer_share: u64, peer_demand: f64) -> u64 {
         let (share, demand) = self.ask_terms(team);
         ledger::fair_part(peer_share, peer_demand, share, demand)
     }
@@ -200,13 +200,13 @@
             return;
         };
         team.resize(&ledger, now);
-        team.limiter.update(team.key, now, |bucket| bucket.deposit(grant.tokens, now));
+        team.limiter.update(team.key, now, |bucket| bucket.add_tokens(grant.tokens, now));
         drop(ledger);
         self.arrived.notify_waiters();
     }
 
     /// Records what a peer has taken from this instance.
-    pub fn acknowledge(&self, key: TeamKey, taker: Incarnation, epoch: u64, share: u64) {
+    pub fn acknowledge(&self, key: TeamId, taker: Incarnation, epoch: u64, share: u64) {
         self.ledger.lock().acknowledge(key, taker, epoch, share);
     }
 
@@ -218,7 +218,7 @@
     ) -> Vec<TeamShare> {
         let ledger = self.ledger.lock();
         let pending = peer.map(|peer| ledger.unacknowledged(peer)).unwrap_or_default();
-        let totals = |key: TeamKey| {
+        let totals = |key: TeamId| {
             let found = pending.iter().find(|(team, _)| *team == key);
             found.map(|(_, totals)| *totals).unwrap_or_default()
         };
@@ -251,7 +251,7 @@
     pub fn enter_epoch(&self, epoch: u64, catalog: &DocumentCatalog) -> Option<Vec<HeldShare>> {
         let mut ledger = self.ledger.lock();
         let report = ledger.enter_epoch(epoch)?;
-        let held = |(key, share): &(TeamKey, u64)| {
+        let held = |(key, share): &(TeamId, u64)| {
             let team = catalog.team(*key)?;
             Some(HeldShare { team: team.name.to_string(), share: *share })
         };
@@ -302,7 +302,7 @@
         let mut ledger = self.ledger.lock();
         ledger.issue(team.key, share);
         team.resize(&ledger, now);
-        team.limiter.update(team.key, now, |bucket| bucket.deposit(tokens, now));
+        team.limiter.update(team.key, now, |bucket| bucket.add_tokens(tokens, now));
         drop(ledger);
         self.arrived.notify_waiters();
     }
@@ -322,7 +322,7 @@
     }
 
     /// Returns the share of every team.
-    pub fn shares(&self, catalog: &DocumentCatalog) -> Vec<(TeamKey, u64)> {
+    pub fn shares(&self, catalog: &DocumentCatalog) -> Vec<(TeamId, u64)> {
         let ledger = self.ledger.lock();
         catalog.teams().map(|(key, _)| (key, ledger.share(key))).collect()
     }
--- a/crates/proxy/src/beat.rs
+++ b/crates/proxy/src/beat.rs
@@ -207,7 +207,7 @@
         held.insert(key, PeerShare::default());
     }
     for share in shares {
-        let Some(key) = catalog.team_key(&share.team) else {
+        let Some(key) = catalog.team_id(&share.team) else {
             continue;
         };
         let Some(entry) = catalog.team(key) else {
--- a/crates/proxy/src/database.rs
+++ b/crates/proxy/src/database.rs
@@ -8,7 +8,7 @@
 use net::member::{MemberConnection, MemberError, MemberTarget};
 use net::pool::MemberPool;
 use parking_lot::Mutex;
-use state::catalog::{DatabaseEntry, DatabaseKey};
+use state::catalog::{DatabaseEntry, DatabaseId};
 use state::position::{MemberPosition, MemberRole, MemberStatus};
 use telemetry::event::LogEvent;
 use telemetry::log_event;
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct DatabaseHandle {
     /// Key in the catalog.
-    pub key: DatabaseKey,
+    pub key: DatabaseId,
     /// Name of the database.
     pub name: Arc<str>,
     /// Members in the order of the document.
@@ -73,7 +73,7 @@
 impl DatabaseHandle {
     /// Creates the handle of a declared database; members without an address are left out.
     pub fn new(
-        key: DatabaseKey,
+        key: DatabaseId,
         entry: &DatabaseEntry,
         settings: &ProxySettings,
         capacity: usize,
@@ -206,7 +206,7 @@
 
     /// Records a position that the primary proved current when asked at `asked_at`.
     pub fn record_proof(&self, asked_at: Instant, position: MemberPosition) {
-        self.freshness.lock().record_primary(asked_at, position.position());
+        self.freshness.lock().record_primary(asked_at, position.applied_position());
     }
 
     /// Returns the greatest age of a member's data, for status reports.
--- a/crates/proxy/src/document.rs
+++ b/crates/proxy/src/document.rs
@@ -6,7 +6,7 @@
 use coord::rendezvous;
 use net::peer::PeerHandle;
 use net::store::{DocumentHead, DocumentStore, StoreError, StoredDocument};
-use state::credential::digest_text;
+use state::credential::sha256_hex;
 use state::document::Document;
 use telemetry::event::LogEvent;
 use telemetry::log_event;
@@ -102,7 +102,7 @@
             return;
         };
         let body = reply.into_inner();
-        if digest_text(body.text.as_bytes()) != body.digest {
+        if sha256_hex(body.text.as_bytes()) != body.digest {
             log_event!(LogEvent::DocumentRefused, "revision={}: wrong digest", body.revision);
             return;
         }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -13,7 +13,7 @@
 use net::store::{LedgerEpoch, StoredDocument};
 use parking_lot::{Mutex, RwLock};
 use snafu::{ResultExt as _, Snafu};
-use state::catalog::{DatabaseKey, DocumentCatalog};
+use state::catalog::{DatabaseId, DocumentCatalog};
 use state::document::Document;
 use state::token::TokenCodec;
 use telemetry::meter;
@@ -128,7 +128,7 @@
     list: Notify,
     peer_address: SocketAddr,
     revision: AtomicU64,
-    databases: Mutex<HashMap<DatabaseKey, WatchedDatabase>>,
+    databases: Mutex<HashMap<DatabaseId, WatchedDatabase>>,
     phase: watch::Sender<InstancePhase>,
     labels: AtomicU64,
     incarnation: u64,
@@ -345,7 +345,7 @@
     }
 
     /// Returns the handle of a database.
-    pub fn database(&self, key: DatabaseKey) -> Option<Arc<DatabaseHandle>> {
+    pub fn database(&self, key: DatabaseId) -> Option<Arc<DatabaseHandle>> {
         self.databases.lock().get(&key).map(|watched| watched.handle.clone())
     }
 
--- a/crates/proxy/src/limiter.rs
+++ b/crates/proxy/src/limiter.rs
@@ -4,8 +4,8 @@
 
 use parking_lot::Mutex;
 use slotmap::{Key as _, SecondaryMap};
-use state::bucket::{BucketDelay, TokenBucket};
-use state::catalog::TeamKey;
+use state::bucket::{InsufficientTokens, TokenBucket};
+use state::catalog::TeamId;
 
 /// Independently locked parts of the limiter.
 const SHARDS: usize = 16;
@@ -19,7 +19,7 @@
     asked: f64,
 }
 
-type LimiterShard = Mutex<SecondaryMap<TeamKey, MeteredBucket>>;
+type LimiterShard = Mutex<SecondaryMap<TeamId, MeteredBucket>>;
 
 /// Buckets of all teams, split into shards.
 #[derive(Debug)]
@@ -35,19 +35,19 @@
 
 impl TeamLimiter {
     /// Takes `cost` tokens of a team; a team without a bucket has none.
-    pub fn take(&self, team: TeamKey, cost: f64, now: Instant) -> Result<(), BucketDelay> {
+    pub fn take(&self, team: TeamId, cost: f64, now: Instant) -> Result<(), InsufficientTokens> {
         let mut buckets = self.shard(team).lock();
         match buckets.get_mut(team) {
             Some(metered) => {
                 metered.asked += cost;
                 metered.bucket.take(cost, now)
             }
-            None => Err(BucketDelay { retry_after: UNKNOWN_DELAY }),
+            None => Err(InsufficientTokens { retry_after: UNKNOWN_DELAY }),
         }
     }
 
     /// Takes tokens for a request whose demand was counted by an earlier try.
-    pub fn retake(&self, team: TeamKey, cost: f64, now: Instant) -> Result<(), BucketDelay> {
+    pub fn retake(&self, team: TeamId, cost: f64, now: Instant) -> Result<(), InsufficientTokens> {
         let taken = self.take(team, cost, now);
         if let Some(metered) = self.shard(team).lock().get_mut(team) {
             metered.asked -= cost;
@@ -56,7 +56,7 @@
     }
 
     /// Returns the tokens asked for since the last call.
-    pub fn drain_asked(&self, team: TeamKey) -> f64 {
+    pub fn drain_asked(&self, team: TeamId) -> f64 {
         let mut buckets = self.shard(team).lock();
         buckets.get_mut(team).map_or(0.0, |metered| std::mem::take(&mut metered.asked))
     }
@@ -64,7 +64,7 @@
     /// Runs an operation on a team's bucket, which starts empty.
     pub fn update<T>(
         &self,
-        team: TeamKey,
+        team: TeamId,
         now: Instant,
         operation: impl FnOnce(&mut TokenBucket) -> T,
     ) -> T {
@@ -77,11 +77,11 @@
     }
 
     /// Forgets a team.
-    pub fn remove(&self, team: TeamKey) {
+    pub fn remove(&self, team: TeamId) {
         self.shard(team).lock().remove(team);
     }
 
-    fn shard(&self, team: TeamKey) -> &LimiterShard {
+    fn shard(&self, team: TeamId) -> &LimiterShard {
         &self.shards[team.data().as_ffi() as usize % SHARDS]
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use clap::Parser;
-use clock::SystemClock;
+use clock::MonotonicClock;
 use proxy::instance::{self, InstanceError};
 use proxy::settings::ProxySettings;
 use proxy::{drain, exposition};
@@ -37,7 +37,7 @@
 
 async fn run(arguments: ProxyArguments) -> Result<(), InstanceError> {
     let recorder = meter::install();
-    let running = instance::start(arguments.proxy, Arc::new(SystemClock)).await?;
+    let running = instance::start(arguments.proxy, Arc::new(MonotonicClock)).await?;
     if let Some(address) = arguments.meter.metrics_listen {
         exposition::serve(address, recorder).await?;
     }
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -8,7 +8,7 @@
 use net::peer::{self, PeerHandle};
 use parking_lot::RwLock;
 use slotmap::SecondaryMap;
-use state::catalog::TeamKey;
+use state::catalog::TeamId;
 use telemetry::event::LogEvent;
 use telemetry::log_event;
 use wire::peer::InstanceSummary;
@@ -41,7 +41,7 @@
     /// When it last answered.
     pub answered_at: Option<Instant>,
     /// Shares of the teams on the instance.
-    pub shares: SecondaryMap<TeamKey, PeerShare>,
+    pub shares: SecondaryMap<TeamId, PeerShare>,
 }
 
 impl PeerEntry {
@@ -128,11 +128,7 @@
     }
 
     /// Records shares that a peer holds.
-    pub fn record_shares(
-        &self,
-        name: &str,
-        shares: impl IntoIterator<Item = (TeamKey, PeerShare)>,
-    ) {
+    pub fn record_shares(&self, name: &str, shares: impl IntoIterator<Item = (TeamId, PeerShare)>) {
         if let Some(entry) = self.entries.write().get_mut(name) {
             for (team, share) in shares {
                 entry.shares.insert(team, share);
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -15,7 +15,7 @@
 use bytes::BytesMut;
 use net::pool::PooledConnection;
 use net::socket::{FramedSocket, SocketError};
-use state::catalog::{DatabaseEntry, TeamKey};
+use state::catalog::{DatabaseEntry, TeamId};
 use state::credential::KeyHash;
 use state::session::SessionPositions;
 use telemetry::event::LogEvent;
@@ -81,7 +81,7 @@
     socket: FramedSocket,
     output: BytesMut,
     phases: watch::Receiver<InstancePhase>,
-    team: TeamKey,
+    team: TeamId,
     key: Option<KeyHash>,
     revision: u64,
     entry: Arc<DatabaseEntry>,
--- a/crates/proxy/src/session/admit.rs
+++ b/crates/proxy/src/session/admit.rs
@@ -34,7 +34,7 @@
 
     /// Returns the age of data that the route accepts.
     pub(super) fn stated_age(&self) -> Option<Duration> {
-        self.route.as_ref().and_then(|route| route.stated_age)
+        self.route.as_ref().and_then(|route| route.max_staleness)
     }
 }
 
@@ -89,8 +89,8 @@
         }
         let kind =
             if class.kind == StatementKind::Read { RouteKind::Read } else { RouteKind::Write };
-        let route = self.entry.route(kind, &class.tables).cloned();
-        let open = route.as_ref().is_some_and(|route| route.open);
+        let route = self.entry.find_route(kind, &class.tables).cloned();
+        let open = route.as_ref().is_some_and(|route| route.allows_anonymous);
         if self.key.is_none() && !open {
             let detail = "the statement is not on a route that is open to all";
             return Err(RequestRefusal::new(RefusalReason::RouteClosed, detail));
--- a/crates/proxy/src/session/exchange.rs
+++ b/crates/proxy/src/session/exchange.rs
@@ -263,7 +263,7 @@
             return Ok(());
         };
         match self.connection.position() {
-            Some(position) if position.covers(floor) => Ok(()),
+            Some(position) if position.has_applied(floor) => Ok(()),
             _ => Err(RelayError::Stale),
         }
     }
--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -256,7 +256,7 @@
                 let (target, views) = self.database.route_read(&needs, now);
                 if let RouteTarget::Replica(member) = target {
                     // Without a token the answer must at least reach what the choice rests on.
-                    let floor = seen.or(Some(views[member].position.position()));
+                    let floor = seen.or(Some(views[member].position.applied_position()));
                     return Ok(AttemptTarget { member, term: None, floor });
                 }
                 target
@@ -448,7 +448,7 @@
         self.registration.slot().set_running(None);
         if let (ExchangeEnd::Complete, Some(position)) = (&end, connection.position()) {
             self.database.record_position(member, position);
-            self.note_position(position.position());
+            self.note_position(position.applied_position());
         }
         ExchangeReport { end, sent, answered }
     }
--- a/crates/proxy/src/share.rs
+++ b/crates/proxy/src/share.rs
@@ -5,7 +5,7 @@
 
 use coord::ledger::MovedTotals;
 use metrics::counter;
-use state::catalog::TeamKey;
+use state::catalog::TeamId;
 use telemetry::meter;
 use tokio::time::sleep;
 use wire::peer::{ShareReply, ShareRequest};
@@ -30,14 +30,14 @@
 }
 
 /// Tells whether some peer is expected to part with a share of the team.
-pub fn is_gift_expected(instance: &ProxyInstance, team: TeamKey) -> bool {
+pub fn is_gift_expected(instance: &ProxyInstance, team: TeamId) -> bool {
     let (share, _) = instance.book.ask_terms(team);
     // Without a share of its own an instance asks whoever is there, heard of or not.
     (share == 0 && !instance.peers.is_empty())
         || instance.peers.any(|peer| expected_gift(instance, peer, team) > 0)
 }
 
-fn expected_gift(instance: &ProxyInstance, peer: &PeerEntry, team: TeamKey) -> u64 {
+fn expected_gift(instance: &ProxyInstance, peer: &PeerEntry, team: TeamId) -> u64 {
     let Some(held) = peer.shares.get(team) else {
         return 0;
     };
@@ -49,7 +49,7 @@
     instance.book.expected_gift(team, held.share, held.demand)
 }
 
-async fn ask_for(instance: &Arc<ProxyInstance>, team: TeamKey) {
+async fn ask_for(instance: &Arc<ProxyInstance>, team: TeamId) {
     let (share, _) = instance.book.ask_terms(team);
     let mut peers: Vec<(u64, PeerEntry)> = instance
         .peers
@@ -64,7 +64,7 @@
     }
 }
 
-async fn ask(instance: &Arc<ProxyInstance>, mut peer: PeerEntry, team: TeamKey) {
+async fn ask(instance: &Arc<ProxyInstance>, mut peer: PeerEntry, team: TeamId) {
     let catalog = instance.catalog();
     let Some(entry) = catalog.team(team) else {
         return;
@@ -97,7 +97,7 @@
         ShareReply { incarnation: instance.incarnation(), epoch, ..ShareReply::default() };
     let now = instance.now();
     let catalog = instance.catalog();
-    let key = catalog.team_key(&request.team);
+    let key = catalog.team_id(&request.team);
     let found = key.and_then(|key| Some((key, catalog.team(key)?)));
     // A share whose epoch may be over must not be passed on.
     let valid = request.epoch == epoch && instance.is_epoch_valid(now);
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -11,7 +11,7 @@
 use pgwire::messages::{
     DecodeContext, PgWireBackendMessage, PgWireFrontendMessage, SslNegotiationMetaMessage,
 };
-use state::catalog::{DatabaseKey, TeamEntry, TeamKey};
+use state::catalog::{DatabaseId, TeamEntry, TeamId};
 use state::credential::KeyHash;
 use state::session::SessionPositions;
 use tokio::time::timeout;
@@ -61,11 +61,11 @@
 #[derive(Debug)]
 pub struct CallerIdentity {
     /// Team of the caller.
-    pub team: TeamKey,
+    pub team: TeamId,
     /// Key by which the caller authenticated; none for callers without one.
     pub key: Option<KeyHash>,
     /// Database of the connection.
-    pub database: DatabaseKey,
+    pub database: DatabaseId,
 }
 
 /// Caller that has passed startup.
@@ -190,12 +190,12 @@
         return Err(refuse(RefusalReason::NoConfiguration, detail));
     }
     let catalog = instance.catalog();
-    let found = catalog.team_key(user).and_then(|key| Some((key, catalog.team(key)?)));
+    let found = catalog.team_id(user).and_then(|key| Some((key, catalog.team(key)?)));
     let Some((team, entry)) = found else {
         return Err(refuse(RefusalReason::UnknownTeam, format!("team {user:?} is not known")));
     };
     let key = password.map(|password| find_key(entry, &password)).transpose()?;
-    let Some(database) = catalog.database_key(name) else {
+    let Some(database) = catalog.database_id(name) else {
         let detail = format!("database {name:?} is not known");
         return Err(refuse(RefusalReason::UnknownDatabase, detail));
     };
--- a/crates/standin/src/member.rs
+++ b/crates/standin/src/member.rs
@@ -161,7 +161,7 @@
             promised: self.promised,
             last_term: self.log.last().map_or(0, |entry| entry.term),
             received: self.log.len() as u64,
-            heard_ms: heard.as_millis() as u64,
+            last_contact_ms: heard.as_millis() as u64,
         }
     }
 
--- a/crates/state/src/bucket.rs
+++ b/crates/state/src/bucket.rs
@@ -4,7 +4,7 @@
 
 /// Refusal of a bucket, with the time after which the same request would pass.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct BucketDelay {
+pub struct InsufficientTokens {
     /// Time until enough tokens have been earned.
     pub retry_after: Duration,
 }
@@ -25,7 +25,7 @@
     }
 
     /// Takes `cost` tokens, or tells how long earning them takes.
-    pub fn take(&mut self, cost: f64, now: Instant) -> Result<(), BucketDelay> {
+    pub fn take(&mut self, cost: f64, now: Instant) -> Result<(), InsufficientTokens> {
         self.reserve(cost, 0.0, Duration::ZERO, now).map(|_| ())
     }
 
@@ -39,12 +39,12 @@
         floor: f64,
         patience: Duration,
         now: Instant,
-    ) -> Result<Duration, BucketDelay> {
+    ) -> Result<Duration, InsufficientTokens> {
         self.fill(now);
         let needed = cost + floor;
         let delay = if self.tokens >= needed { Duration::ZERO } else { self.delay(needed) };
         if delay > patience {
-            return Err(BucketDelay { retry_after: delay });
+            return Err(InsufficientTokens { retry_after: delay });
         }
         self.tokens -= cost;
         Ok(delay)
@@ -59,7 +59,7 @@
     }
 
     /// Removes up to `wanted` tokens for a transfer and returns how many were removed.
-    pub fn withdraw(&mut self, wanted: f64, now: Instant) -> f64 {
+    pub fn take_up_to(&mut self, wanted: f64, now: Instant) -> f64 {
         self.fill(now);
         let taken = wanted.min(self.tokens).max(0.0);
         self.tokens -= taken;
@@ -67,7 +67,7 @@
     }
 
     /// Adds tokens received by a transfer, up to the burst.
-    pub fn deposit(&mut self, tokens: f64, now: Instant) {
+    pub fn add_tokens(&mut self, tokens: f64, now: Instant) {
         self.fill(now);
         self.tokens = (self.tokens + tokens).min(self.burst);
     }
--- a/crates/state/src/catalog.rs
+++ b/crates/state/src/catalog.rs
@@ -11,9 +11,9 @@
 
 new_key_type! {
     /// Key of a team.
-    pub struct TeamKey;
+    pub struct TeamId;
     /// Key of a database.
-    pub struct DatabaseKey;
+    pub struct DatabaseId;
 }
 
 /// Team in force.
@@ -41,9 +41,9 @@
     /// Tables that matching statements may name, in lower case.
     pub tables: BTreeSet<String>,
     /// Age of data that reads accept.
-    pub stated_age: Option<Duration>,
+    pub max_staleness: Option<Duration>,
     /// Tells that callers without a key may use the route.
-    pub open: bool,
+    pub allows_anonymous: bool,
     /// Tells that matching writes may be repeated.
     pub idempotent: bool,
     /// Deadline that replaces the database's.
@@ -71,7 +71,7 @@
 
 impl DatabaseEntry {
     /// Finds the first route whose kind matches and whose tables include all of `tables`.
-    pub fn route(&self, kind: RouteKind, tables: &[String]) -> Option<&Arc<RouteEntry>> {
+    pub fn find_route(&self, kind: RouteKind, tables: &[String]) -> Option<&Arc<RouteEntry>> {
         if tables.is_empty() {
             return None;
         }
@@ -85,10 +85,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct DocumentCatalog {
     revision: u64,
-    teams: SlotMap<TeamKey, Arc<TeamEntry>>,
-    databases: SlotMap<DatabaseKey, Arc<DatabaseEntry>>,
-    team_names: HashMap<Arc<str>, TeamKey>,
-    database_names: HashMap<Arc<str>, DatabaseKey>,
+    teams: SlotMap<TeamId, Arc<TeamEntry>>,
+    databases: SlotMap<DatabaseId, Arc<DatabaseEntry>>,
+    team_names: HashMap<Arc<str>, TeamId>,
+    database_names: HashMap<Arc<str>, DatabaseId>,
 }
 
 impl DocumentCatalog {
@@ -107,32 +107,32 @@
     }
 
     /// Finds a team by name.
-    pub fn team_key(&self, name: &str) -> Option<TeamKey> {
+    pub fn team_id(&self, name: &str) -> Option<TeamId> {
         self.team_names.get(name).copied()
     }
 
     /// Returns a team, or none once the document no longer declares it.
-    pub fn team(&self, key: TeamKey) -> Option<&Arc<TeamEntry>> {
+    pub fn team(&self, key: TeamId) -> Option<&Arc<TeamEntry>> {
         self.teams.get(key)
     }
 
     /// Finds a database by name.
-    pub fn database_key(&self, name: &str) -> Option<DatabaseKey> {
+    pub fn database_id(&self, name: &str) -> Option<DatabaseId> {
         self.database_names.get(name).copied()
     }
 
     /// Returns a database, or none once the document no longer declares it.
-    pub fn database(&self, key: DatabaseKey) -> Option<&Arc<DatabaseEntry>> {
+    pub fn database(&self, key: DatabaseId) -> Option<&Arc<DatabaseEntry>> {
         self.databases.get(key)
     }
 
     /// Iterates over all teams.
-    pub fn teams(&self) -> impl Iterator<Item = (TeamKey, &Arc<TeamEntry>)> {
+    pub fn teams(&self) -> impl Iterator<Item = (TeamId, &Arc<TeamEntry>)> {
         self.teams.iter()
     }
 
     /// Iterates over all databases.
-    pub fn databases(&self) -> impl Iterator<Item = (DatabaseKey, &Arc<DatabaseEntry>)> {
+    pub fn databases(&self) -> impl Iterator<Item = (DatabaseId, &Arc<DatabaseEntry>)> {
         self.databases.iter()
     }
 
@@ -206,8 +206,8 @@
         name: section.name.as_str().into(),
         kind: section.kind,
         tables: section.tables.iter().map(|table| table.to_lowercase()).collect(),
-        stated_age: section.stated_age_ms.map(Duration::from_millis),
-        open: section.open,
+        max_staleness: section.stated_age_ms.map(Duration::from_millis),
+        allows_anonymous: section.open,
         idempotent: section.idempotent,
         deadline: section.deadline_ms.map(Duration::from_millis),
     }
--- a/crates/state/src/credential.rs
+++ b/crates/state/src/credential.rs
@@ -113,7 +113,7 @@
 }
 
 /// Returns the hexadecimal SHA-256 digest of a document's bytes.
-pub fn digest_text(bytes: &[u8]) -> String {
+pub fn sha256_hex(bytes: &[u8]) -> String {
     Sha256::digest(bytes).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
--- a/crates/state/src/document.rs
+++ b/crates/state/src/document.rs
@@ -9,7 +9,7 @@
 use crate::credential::KeyHash;
 
 /// Format version that this program reads.
-pub const FORMAT: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// Largest accepted document in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024 * 1024;
 
@@ -30,7 +30,7 @@
     },
     /// A value breaks a rule.
     #[snafu(display("{section} {name:?}: {rule}"))]
-    Rule {
+    InvalidValue {
         /// Section that holds the value.
         section: &'static str,
         /// Name of the entry.
@@ -162,14 +162,17 @@
         let bytes = text.len();
         ensure!(bytes <= MAX_DOCUMENT_BYTES, TooLargeSnafu { bytes });
         let document: Self = toml::from_str(text).map_err(Box::new).context(SyntaxSnafu)?;
-        document.check()?;
+        document.validate()?;
         Ok(document)
     }
 
     /// Checks the rules that the types do not express.
-    pub fn check(&self) -> Result<(), DocumentError> {
-        let rule = format!("format must be {FORMAT}");
-        ensure!(self.format == FORMAT, RuleSnafu { section: "document", name: "format", rule });
+    pub fn validate(&self) -> Result<(), DocumentError> {
+        let rule = format!("format must be {FORMAT_VERSION}");
+        ensure!(
+            self.format == FORMAT_VERSION,
+            InvalidValueSnafu { section: "document", name: "format", rule }
+        );
         check_names("team", self.teams.iter().map(|team| team.name.as_str()))?;
         check_names("database", self.databases.iter().map(|database| database.name.as_str()))?;
         check_names("route", self.routes.iter().map(|route| route.name.as_str()))?;
@@ -182,13 +185,16 @@
         let name = &team.name;
         let usable = |value: f64| value.is_finite() && (0.0..=1e9).contains(&value);
         let rule = "rate must lie between 0 and 1e9 statements a second";
-        ensure!(usable(team.rate), RuleSnafu { section: "team", name, rule });
+        ensure!(usable(team.rate), InvalidValueSnafu { section: "team", name, rule });
         let rule = "burst must lie between 1 and 1e9 statements";
-        ensure!(usable(team.burst) && team.burst >= 1.0, RuleSnafu { section: "team", name, rule });
+        ensure!(
+            usable(team.burst) && team.burst >= 1.0,
+            InvalidValueSnafu { section: "team", name, rule }
+        );
         for database in &team.databases {
             let known = self.databases.iter().any(|section| section.name == *database);
             let rule = format!("database {database:?} is not declared");
-            ensure!(known, RuleSnafu { section: "team", name, rule });
+            ensure!(known, InvalidValueSnafu { section: "team", name, rule });
         }
         Ok(())
     }
@@ -197,14 +203,14 @@
         let name = &route.name;
         let known = self.databases.iter().any(|database| database.name == route.database);
         let rule = format!("database {:?} is not declared", route.database);
-        ensure!(known, RuleSnafu { section: "route", name, rule });
+        ensure!(known, InvalidValueSnafu { section: "route", name, rule });
         let rule = "at least one table must be named";
-        ensure!(!route.tables.is_empty(), RuleSnafu { section: "route", name, rule });
+        ensure!(!route.tables.is_empty(), InvalidValueSnafu { section: "route", name, rule });
         let write = route.kind == RouteKind::Write;
         let rule = "stated_age_ms is for reads only";
         ensure!(
             !(write && route.stated_age_ms.is_some()),
-            RuleSnafu { section: "route", name, rule }
+            InvalidValueSnafu { section: "route", name, rule }
         );
         Ok(())
     }
@@ -215,11 +221,17 @@
     let section = "database";
     check_names("member", database.members.iter().map(String::as_str))?;
     let rule = "at least one member must be named";
-    ensure!(!database.members.is_empty(), RuleSnafu { section, name, rule });
+    ensure!(!database.members.is_empty(), InvalidValueSnafu { section, name, rule });
     let rule = "slots and connections must be at least 1";
-    ensure!(database.slots > 0 && database.connections > 0, RuleSnafu { section, name, rule });
+    ensure!(
+        database.slots > 0 && database.connections > 0,
+        InvalidValueSnafu { section, name, rule }
+    );
     let rule = "deadline_ms must lie between 1 and 3600000";
-    ensure!((1..=3_600_000).contains(&database.deadline_ms), RuleSnafu { section, name, rule });
+    ensure!(
+        (1..=3_600_000).contains(&database.deadline_ms),
+        InvalidValueSnafu { section, name, rule }
+    );
     Ok(())
 }
 
@@ -232,8 +244,11 @@
         let plain = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
         let valid = !name.is_empty() && name.len() <= 63 && name.chars().all(plain);
         let rule = "a name has 1 to 63 letters, digits, dots, dashes or underscores";
-        ensure!(valid, RuleSnafu { section, name, rule });
-        ensure!(seen.insert(name), RuleSnafu { section, name, rule: "the name stands twice" });
+        ensure!(valid, InvalidValueSnafu { section, name, rule });
+        ensure!(
+            seen.insert(name),
+            InvalidValueSnafu { section, name, rule: "the name stands twice" }
+        );
     }
     Ok(())
 }
--- a/crates/state/src/position.rs
+++ b/crates/state/src/position.rs
@@ -98,7 +98,7 @@
     ///
     /// A position of an older term counts only up to the start of the member's term, because
     /// entries past it were never acknowledged.
-    pub fn covers(&self, seen: LogPosition) -> bool {
+    pub fn has_applied(&self, seen: LogPosition) -> bool {
         if self.term < seen.term {
             return false;
         }
@@ -109,7 +109,7 @@
     }
 
     /// Returns the log position up to which reads on this member reach.
-    pub fn position(&self) -> LogPosition {
+    pub fn applied_position(&self) -> LogPosition {
         LogPosition::new(self.term, self.applied)
     }
 }
@@ -157,12 +157,12 @@
     /// Index of the last entry that the member holds, applied or not.
     pub received: u64,
     /// Milliseconds since the member last heard its primary; zero on a primary.
-    pub heard_ms: u64,
+    pub last_contact_ms: u64,
 }
 
 impl MemberStatus {
     /// Returns the position by which candidates for promotion are compared.
-    pub fn held(&self) -> LogPosition {
+    pub fn last_entry(&self) -> LogPosition {
         LogPosition::new(self.last_term, self.received)
     }
 }
@@ -172,7 +172,7 @@
         write!(
             formatter,
             "{}:{}:{}:{}:{}",
-            self.position, self.promised, self.last_term, self.received, self.heard_ms
+            self.position, self.promised, self.last_term, self.received, self.last_contact_ms
         )
     }
 }
@@ -192,7 +192,7 @@
             promised: number("promised")?,
             last_term: number("last_term")?,
             received: number("received")?,
-            heard_ms: number("heard_ms")?,
+            last_contact_ms: number("heard_ms")?,
         })
     }
 }
--- a/crates/state/src/session.rs
+++ b/crates/state/src/session.rs
@@ -6,7 +6,7 @@
 
 /// Highest position seen in one database.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct SeenPosition {
+pub struct DatabasePosition {
     /// Name of the database.
     pub database: Arc<str>,
     /// Highest position that a read or write of the session showed.
@@ -16,7 +16,7 @@
 /// Positions of one session; a missing entry means that the session stands behind the barrier.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SessionPositions {
-    seen: Vec<SeenPosition>,
+    seen: Vec<DatabasePosition>,
 }
 
 impl SessionPositions {
@@ -28,7 +28,7 @@
     /// Raises the position seen in `database` and tells whether it moved.
     pub fn advance(&mut self, database: &Arc<str>, position: LogPosition) -> bool {
         let Some(seen) = self.seen.iter_mut().find(|seen| seen.database == *database) else {
-            self.seen.push(SeenPosition { database: database.clone(), position });
+            self.seen.push(DatabasePosition { database: database.clone(), position });
             return true;
         };
         if seen.position >= position {
@@ -46,7 +46,7 @@
     }
 
     /// Iterates over the positions seen.
-    pub fn iter(&self) -> impl Iterator<Item = &SeenPosition> {
+    pub fn iter(&self) -> impl Iterator<Item = &DatabasePosition> {
         self.seen.iter()
     }
 
--- a/crates/state/src/token.rs
+++ b/crates/state/src/token.rs
@@ -40,7 +40,7 @@
     Integrity,
     /// The token ends early or has bytes left over.
     #[snafu(display("session token is cut short"))]
-    Truncated,
+    InvalidLength,
 }
 
 /// Writes and reads session tokens under a secret shared by all instances.
@@ -74,7 +74,7 @@
     pub fn decode(&self, text: &str) -> Result<SessionPositions, TokenError> {
         ensure!(text.len() <= MAX_TEXT_BYTES, EncodingSnafu);
         let bytes = URL_SAFE_NO_PAD.decode(text).ok().context(EncodingSnafu)?;
-        let split = bytes.len().checked_sub(CODE_BYTES).context(TruncatedSnafu)?;
+        let split = bytes.len().checked_sub(CODE_BYTES).context(InvalidLengthSnafu)?;
         let (body, code) = bytes.split_at(split);
         let expected = self.sign(body);
         let difference = expected.iter().zip(code).fold(0_u8, |sum, (a, b)| sum | (a ^ b));
@@ -106,12 +106,12 @@
         let index = take_number(&mut cursor)?;
         positions.advance(&database, LogPosition::new(term, index));
     }
-    ensure!(cursor.is_empty(), TruncatedSnafu);
+    ensure!(cursor.is_empty(), InvalidLengthSnafu);
     Ok(positions)
 }
 
 fn take<'a>(cursor: &mut &'a [u8], length: usize) -> Result<&'a [u8], TokenError> {
-    let (head, tail) = cursor.split_at_checked(length).context(TruncatedSnafu)?;
+    let (head, tail) = cursor.split_at_checked(length).context(InvalidLengthSnafu)?;
     *cursor = tail;
     Ok(head)
 }
--- a/crates/state/tests/rules.rs
+++ b/crates/state/tests/rules.rs
@@ -34,7 +34,7 @@
     let (term, applied, term_start) = case.member;
     let member = MemberPosition { role: MemberRole::Replica, term, applied, term_start };
     let seen = LogPosition::new(case.seen.0, case.seen.1);
-    assert_eq!(member.covers(seen), case.covers);
+    assert_eq!(member.has_applied(seen), case.covers);
 }
 
 cases! {
@@ -82,8 +82,8 @@
     let second = Document::parse("format = 1\n[[team]]\nname = \"b\"\nrate = 7\n");
     let before = DocumentCatalog::default().updated(1, &first.expect("valid"));
     let after = before.updated(2, &second.expect("valid"));
-    assert_eq!(before.team_key("b"), after.team_key("b"));
-    let (a, b) = (before.team_key("a").expect("a"), after.team_key("b").expect("b"));
+    assert_eq!(before.team_id("b"), after.team_id("b"));
+    let (a, b) = (before.team_id("a").expect("a"), after.team_id("b").expect("b"));
     assert!(after.team(a).is_none());
     assert_eq!(after.team(b).map(|team| team.rate), Some(7.0));
 }
@@ -133,7 +133,7 @@
         let (term, applied, term_start, promised, received, heard_ms) = numbers;
         let position = MemberPosition { role: MemberRole::Fenced, term, applied, term_start };
         let status =
-            MemberStatus { position, promised, last_term: term, received, heard_ms };
+            MemberStatus { position, promised, last_term: term, received, last_contact_ms: heard_ms };
         status.to_string().parse::<MemberStatus>().ok() == Some(status)
     }
 
