--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clock interface, so that tests decide what time it is.
+//! Monotonic clocks behind a trait, so that tests can control the time.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
     fn now(&self) -> Instant;
 }
 
-/// Clock of the operating system.
+/// Monotonic clock of the operating system; it stops while the machine is suspended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MonotonicClock;
 
@@ -21,19 +21,19 @@
     }
 }
 
-/// Clock that also counts the time for which the machine was suspended.
+/// Monotonic clock that also advances while the machine is suspended.
 ///
-/// Ages of data and of leases are measured on it.
+/// Ages of data and of leases are measured on it, so that neither seems younger after a suspension.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
-    started_at: Instant,
-    booted_for: Duration,
+    created_at: Instant,
+    uptime_at_creation: Duration,
 }
 
 impl BootClock {
-    /// Creates a clock whose instants agree with the steady clock at the time of the call.
+    /// Creates a clock whose instants equal those of [`Instant::now`] at the time of the call.
     pub fn new() -> Self {
-        Self { started_at: Instant::now(), booted_for: boot_time() }
+        Self { created_at: Instant::now(), uptime_at_creation: uptime() }
     }
 }
 
@@ -45,14 +45,14 @@
 
 impl Clock for BootClock {
     fn now(&self) -> Instant {
-        self.started_at + boot_time().saturating_sub(self.booted_for)
+        self.created_at + uptime().saturating_sub(self.uptime_at_creation)
     }
 }
 
-/// Clock shared by the tasks of a program.
+/// Clock that the tasks of a program share.
 pub type SharedClock = Arc<dyn Clock>;
 
-fn boot_time() -> Duration {
+fn uptime() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::new(time.tv_sec.unsigned_abs(), u32::try_from(time.tv_nsec).unwrap_or_default())
 }
--- a/crates/state/src/catalog.rs
+++ b/crates/state/src/catalog.rs
@@ -1,4 +1,4 @@
-//! Document in force, arranged in arenas whose keys outlive a change of the document.
+//! Index of the current configuration document, with ids that stay stable across revisions.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -10,67 +10,67 @@
 use crate::document::{DatabaseSection, Document, RouteKind, RouteSection, TeamSection};
 
 new_key_type! {
-    /// Key of a team.
+    /// Id of a team, stable while consecutive revisions declare its name.
     pub struct TeamId;
-    /// Key of a database.
+    /// Id of a database, stable while consecutive revisions declare its name.
     pub struct DatabaseId;
 }
 
-/// Team in force.
+/// Team of the current document.
 #[derive(Clone, Debug)]
 pub struct TeamEntry {
     /// Name of the team.
     pub name: Arc<str>,
-    /// Statements a second over all instances.
+    /// Rate limit in statements per second, over all instances.
     pub rate: f64,
-    /// Statements that may run at once after a pause, over all instances.
+    /// Burst limit in statements, over all instances.
     pub burst: f64,
-    /// Key hashes in force.
+    /// Hashes of the API keys that are valid.
     pub keys: Vec<KeyHash>,
     /// Databases the team may use; empty means all.
     pub databases: Vec<String>,
 }
 
-/// Route in force.
+/// Route of the current document.
 #[derive(Clone, Debug)]
 pub struct RouteEntry {
     /// Name of the route.
     pub name: Arc<str>,
-    /// Kind of statements that match.
+    /// Kind of the statements that match.
     pub kind: RouteKind,
-    /// Tables that matching statements may name, in lower case.
+    /// Tables that a matching statement may use, in lower case.
     pub tables: BTreeSet<String>,
-    /// Age of data that reads accept.
+    /// Maximum staleness that reads accept; none means that they need the primary's data.
     pub max_staleness: Option<Duration>,
-    /// Tells that callers without a key may use the route.
+    /// Whether callers without an API key may use the route.
     pub allows_anonymous: bool,
-    /// Tells that matching writes may be repeated.
+    /// Whether matching writes may be retried after an unknown outcome.
     pub idempotent: bool,
-    /// Deadline that replaces the database's.
+    /// Deadline that overrides the database's.
     pub deadline: Option<Duration>,
 }
 
-/// Database in force, with its routes.
+/// Database of the current document, with its routes.
 #[derive(Clone, Debug)]
 pub struct DatabaseEntry {
     /// Name of the database.
     pub name: Arc<str>,
     /// Logical names of the members.
     pub members: Vec<Arc<str>>,
-    /// Statements that one member runs at once.
+    /// Maximum number of concurrent statements on one member.
     pub slots: u32,
-    /// Connections that one member accepts from all instances together.
+    /// Maximum number of connections to one member, over all instances.
     pub connections: u32,
-    /// Longest time a statement may take.
+    /// Maximum time of a statement, including its time in the queue.
     pub deadline: Duration,
-    /// Tells that the database gets no new work.
+    /// Whether the database is leaving and accepts no new work.
     pub leaving: bool,
     /// Routes of the database, in the document's order.
     pub routes: Vec<Arc<RouteEntry>>,
 }
 
 impl DatabaseEntry {
-    /// Finds the first route whose kind matches and whose tables include all of `tables`.
+    /// Returns the first route of this kind whose tables include all of `tables`.
     pub fn find_route(&self, kind: RouteKind, tables: &[String]) -> Option<&Arc<RouteEntry>> {
         if tables.is_empty() {
             return None;
@@ -81,18 +81,18 @@
     }
 }
 
-/// Document in force with its revision.
+/// Teams and databases of the current document, with its revision.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentCatalog {
     revision: u64,
     teams: SlotMap<TeamId, Arc<TeamEntry>>,
     databases: SlotMap<DatabaseId, Arc<DatabaseEntry>>,
-    team_names: HashMap<Arc<str>, TeamId>,
-    database_names: HashMap<Arc<str>, DatabaseId>,
+    team_ids: HashMap<Arc<str>, TeamId>,
+    database_ids: HashMap<Arc<str>, DatabaseId>,
 }
 
 impl DocumentCatalog {
-    /// Returns the catalog of `document`, keeping the keys of names that stay.
+    /// Returns the catalog of `document`; names that both documents declare keep their ids.
     pub fn updated(&self, revision: u64, document: &Document) -> Self {
         let mut catalog = self.clone();
         catalog.revision = revision;
@@ -101,29 +101,29 @@
         catalog
     }
 
-    /// Returns the revision of the document, zero before the first one.
+    /// Returns the revision of the document; zero before the first one.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Finds a team by name.
+    /// Returns the id of the team with this name.
     pub fn team_id(&self, name: &str) -> Option<TeamId> {
-        self.team_names.get(name).copied()
+        self.team_ids.get(name).copied()
     }
 
-    /// Returns a team, or none once the document no longer declares it.
-    pub fn team(&self, key: TeamId) -> Option<&Arc<TeamEntry>> {
-        self.teams.get(key)
+    /// Returns a team, or `None` if the document no longer declares it.
+    pub fn team(&self, id: TeamId) -> Option<&Arc<TeamEntry>> {
+        self.teams.get(id)
     }
 
-    /// Finds a database by name.
+    /// Returns the id of the database with this name.
     pub fn database_id(&self, name: &str) -> Option<DatabaseId> {
-        self.database_names.get(name).copied()
+        self.database_ids.get(name).copied()
     }
 
-    /// Returns a database, or none once the document no longer declares it.
-    pub fn database(&self, key: DatabaseId) -> Option<&Arc<DatabaseEntry>> {
-        self.databases.get(key)
+    /// Returns a database, or `None` if the document no longer declares it.
+    pub fn database(&self, id: DatabaseId) -> Option<&Arc<DatabaseEntry>> {
+        self.databases.get(id)
     }
 
     /// Iterates over all teams.
@@ -137,18 +137,19 @@
     }
 
     fn replace_teams(&mut self, sections: &[TeamSection]) {
-        let names = &mut self.team_names;
-        let known: HashSet<&str> = sections.iter().map(|section| section.name.as_str()).collect();
-        let declared = |name: &str| known.contains(name);
-        self.teams.retain(|_, team| declared(&team.name));
-        names.retain(|name, _| declared(name));
+        let ids = &mut self.team_ids;
+        let declared_names: HashSet<&str> =
+            sections.iter().map(|section| section.name.as_str()).collect();
+        let is_declared = |name: &str| declared_names.contains(name);
+        self.teams.retain(|_, team| is_declared(&team.name));
+        ids.retain(|name, _| is_declared(name));
         for section in sections {
             let team = Arc::new(team_entry(section));
-            match names.get(section.name.as_str()) {
-                Some(key) => self.teams[*key] = team,
+            match ids.get(section.name.as_str()) {
+                Some(id) => self.teams[*id] = team,
                 None => {
                     let name = team.name.clone();
-                    names.insert(name, self.teams.insert(team));
+                    ids.insert(name, self.teams.insert(team));
                 }
             }
         }
@@ -156,23 +157,24 @@
 
     fn replace_databases(&mut self, document: &Document) {
         let sections = &document.databases;
-        let names = &mut self.database_names;
-        let known: HashSet<&str> = sections.iter().map(|section| section.name.as_str()).collect();
-        let declared = |name: &str| known.contains(name);
+        let ids = &mut self.database_ids;
+        let declared_names: HashSet<&str> =
+            sections.iter().map(|section| section.name.as_str()).collect();
+        let is_declared = |name: &str| declared_names.contains(name);
         let mut routes: HashMap<&str, Vec<Arc<RouteEntry>>> = HashMap::new();
         for route in &document.routes {
             routes.entry(&route.database).or_default().push(Arc::new(route_entry(route)));
         }
-        self.databases.retain(|_, database| declared(&database.name));
-        names.retain(|name, _| declared(name));
+        self.databases.retain(|_, database| is_declared(&database.name));
+        ids.retain(|name, _| is_declared(name));
         for section in sections {
-            let own = routes.remove(section.name.as_str()).unwrap_or_default();
-            let database = Arc::new(database_entry(section, own));
-            match names.get(section.name.as_str()) {
-                Some(key) => self.databases[*key] = database,
+            let database_routes = routes.remove(section.name.as_str()).unwrap_or_default();
+            let database = Arc::new(database_entry(section, database_routes));
+            match ids.get(section.name.as_str()) {
+                Some(id) => self.databases[*id] = database,
                 None => {
                     let name = database.name.clone();
-                    names.insert(name, self.databases.insert(database));
+                    ids.insert(name, self.databases.insert(database));
                 }
             }
         }
--- a/crates/state/src/credential.rs
+++ b/crates/state/src/credential.rs
@@ -1,4 +1,4 @@
-//! Team keys, kept only as salted hashes.
+//! API keys of teams, stored only as salted hashes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,32 +10,30 @@
 use sha2::{Digest as _, Sha256};
 use snafu::{OptionExt as _, Snafu, ensure};
 
-/// Scheme name at the start of a written hash.
+/// Scheme prefix of a hash in text form.
 const SCHEME: &str = "sha256";
-/// Length of a salt in bytes.
 const SALT_BYTES: usize = 16;
-/// Length of a digest in bytes.
 const DIGEST_BYTES: usize = 32;
-/// Length of a generated key in bytes, before encoding.
+/// Length of a generated key before encoding: 192 random bits.
 const KEY_BYTES: usize = 24;
 
-/// Errors of reading a key hash.
+/// Errors of parsing a key hash.
 #[derive(Debug, Snafu)]
 pub enum CredentialError {
-    /// The text is not `sha256$salt$digest`.
-    #[snafu(display("a key hash has the form sha256$salt$digest"))]
+    /// The text does not have the form `sha256$salt$digest`.
+    #[snafu(display("key hash does not have the form sha256$salt$digest"))]
     Malformed,
-    /// A part is not base64 of the expected length.
-    #[snafu(display("the {part} of a key hash is not base64 of the expected length"))]
+    /// The salt or the digest is not base64 or has the wrong length.
+    #[snafu(display("{part} of key hash is not base64 of the expected length"))]
     InvalidPart {
-        /// Part that was refused.
+        /// Part that failed to parse.
         part: &'static str,
     },
 }
 
-/// Salted hash of one team key.
+/// Salted hash of one API key.
 ///
-/// Keys carry 192 random bits, so that one round of SHA-256 is enough against guessing.
+/// Generated keys have 192 random bits, so one round of SHA-256 suffices against guessing.
 #[derive(Clone, Copy, Eq, Hash, PartialEq)]
 pub struct KeyHash {
     salt: [u8; SALT_BYTES],
@@ -43,25 +41,25 @@
 }
 
 impl KeyHash {
-    /// Hashes `key` under `salt`.
+    /// Hashes `key` with `salt`.
     pub fn new(key: &str, salt: [u8; SALT_BYTES]) -> Self {
-        Self { salt, digest: digest(&salt, key) }
+        Self { salt, digest: salted_digest(&salt, key) }
     }
 
-    /// Hashes `key` under a fresh salt.
+    /// Hashes `key` with a random salt.
     pub fn generate(key: &str) -> Self {
         Self::new(key, rand::rng().random())
     }
 
-    /// Tells whether `key` is the hashed key, in time that does not depend on where it differs.
+    /// Returns whether `key` is the hashed key; compares in constant time.
     pub fn matches(&self, key: &str) -> bool {
-        let candidate = digest(&self.salt, key);
+        let candidate = salted_digest(&self.salt, key);
         let difference =
             candidate.iter().zip(self.digest.iter()).fold(0_u8, |sum, (a, b)| sum | (a ^ b));
         difference == 0
     }
 
-    /// Returns a short identifier that is safe to log and to name a key by.
+    /// Returns a short identifier of the key that is safe to log.
     pub fn fingerprint(&self) -> String {
         URL_SAFE_NO_PAD.encode(&self.digest[..6])
     }
@@ -86,8 +84,8 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let mut parts = text.split('$');
         ensure!(parts.next() == Some(SCHEME), MalformedSnafu);
-        let salt = decode(parts.next().context(MalformedSnafu)?, "salt")?;
-        let digest = decode(parts.next().context(MalformedSnafu)?, "digest")?;
+        let salt = decode_part(parts.next().context(MalformedSnafu)?, "salt")?;
+        let digest = decode_part(parts.next().context(MalformedSnafu)?, "digest")?;
         ensure!(parts.next().is_none(), MalformedSnafu);
         Ok(Self { salt, digest })
     }
@@ -106,25 +104,25 @@
     }
 }
 
-/// Generates a new team key.
+/// Generates a random API key.
 pub fn generate_key() -> String {
     let bytes: [u8; KEY_BYTES] = rand::rng().random();
     URL_SAFE_NO_PAD.encode(bytes)
 }
 
-/// Returns the hexadecimal SHA-256 digest of a document's bytes.
+/// Returns the SHA-256 digest of `bytes` in hexadecimal.
 pub fn sha256_hex(bytes: &[u8]) -> String {
     Sha256::digest(bytes).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn digest(salt: &[u8], key: &str) -> [u8; DIGEST_BYTES] {
+fn salted_digest(salt: &[u8], key: &str) -> [u8; DIGEST_BYTES] {
     let mut hasher = Sha256::new();
     hasher.update(salt);
     hasher.update(key.as_bytes());
     hasher.finalize().into()
 }
 
-fn decode<const N: usize>(text: &str, part: &'static str) -> Result<[u8; N], CredentialError> {
+fn decode_part<const N: usize>(text: &str, part: &'static str) -> Result<[u8; N], CredentialError> {
     let bytes = URL_SAFE_NO_PAD.decode(text).ok().context(InvalidPartSnafu { part })?;
     bytes.try_into().ok().context(InvalidPartSnafu { part })
 }
--- a/crates/state/src/document.rs
+++ b/crates/state/src/document.rs
@@ -1,4 +1,4 @@
-//! Configuration document: one TOML text per environment, promoted byte for byte.
+//! Configuration document: one TOML text per environment, promoted unchanged to the next one.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -8,35 +8,35 @@
 
 use crate::credential::KeyHash;
 
-/// Format version that this program reads.
+/// Format version that this program accepts.
 pub const FORMAT_VERSION: u32 = 1;
-/// Largest accepted document in bytes.
+/// Maximum size of a document in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024 * 1024;
 
-/// Errors of reading a document.
+/// Errors of parsing or validating a document.
 #[derive(Debug, Snafu)]
 pub enum DocumentError {
-    /// The text is not TOML of the expected shape; the message carries line and column.
+    /// The text is not TOML with the expected fields; the message names line and column.
     #[snafu(display("{source}"))]
     Syntax {
-        /// Cause reported by the TOML reader.
+        /// Error of the TOML parser.
         source: Box<toml::de::Error>,
     },
-    /// The document is larger than the limit.
-    #[snafu(display("document has {bytes} bytes, {MAX_DOCUMENT_BYTES} are accepted"))]
+    /// The document exceeds [`MAX_DOCUMENT_BYTES`].
+    #[snafu(display("document of {bytes} bytes exceeds the limit of {MAX_DOCUMENT_BYTES} bytes"))]
     TooLarge {
-        /// Size found.
+        /// Size of the document.
         bytes: usize,
     },
-    /// A value breaks a rule.
-    #[snafu(display("{section} {name:?}: {rule}"))]
+    /// A value does not meet a requirement.
+    #[snafu(display("{section} {name:?}: {requirement}"))]
     InvalidValue {
-        /// Section that holds the value.
+        /// Kind of section that contains the value.
         section: &'static str,
-        /// Name of the entry.
+        /// Name of the entry in that section.
         name: String,
-        /// Rule that was broken.
-        rule: String,
+        /// Requirement that is not met.
+        requirement: String,
     },
 }
 
@@ -46,13 +46,13 @@
 pub struct Document {
     /// Format version of the document.
     pub format: u32,
-    /// Teams that share the databases.
+    /// Teams that may use the databases.
     #[serde(default, rename = "team")]
     pub teams: Vec<TeamSection>,
-    /// Databases that the teams share.
+    /// Databases, each a group of members.
     #[serde(default, rename = "database")]
     pub databases: Vec<DatabaseSection>,
-    /// Routes that give matching statements other rules than the default ones.
+    /// Routes, which override the defaults for matching statements.
     #[serde(default, rename = "route")]
     pub routes: Vec<RouteSection>,
 }
@@ -61,13 +61,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TeamSection {
-    /// Name, used as the user name of its connections.
+    /// Name, which callers give as the user name.
     pub name: String,
-    /// Statements a second over all instances.
+    /// Rate limit in statements per second, over all instances.
     pub rate: f64,
-    /// Statements that may run at once after a pause, over all instances.
+    /// Burst limit in statements, over all instances.
     pub burst: f64,
-    /// Salted hashes of the keys in force.
+    /// Salted hashes of the API keys that are valid.
     pub keys: Vec<KeyHash>,
     /// Databases the team may use; empty means all.
     pub databases: Vec<String>,
@@ -85,21 +85,21 @@
     }
 }
 
-/// Settings of one database group.
+/// Settings of one database.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DatabaseSection {
-    /// Name, used as the database name of connections.
+    /// Name, which callers give as the database name.
     pub name: String,
-    /// Logical names of the members; addresses stand in each instance's settings.
+    /// Logical names of the members; their addresses are in the settings of each instance.
     pub members: Vec<String>,
-    /// Statements that one member runs at once.
+    /// Maximum number of concurrent statements on one member.
     pub slots: u32,
-    /// Connections that one member accepts from all instances together.
+    /// Maximum number of connections to one member, over all instances.
     pub connections: u32,
-    /// Longest time a statement may take, queue included, in milliseconds.
+    /// Maximum time of a statement in milliseconds, including its time in the queue.
     pub deadline_ms: u64,
-    /// Tells that the database is leaving and gets no new work.
+    /// Whether the database is leaving and accepts no new work.
     pub leaving: bool,
 }
 
@@ -123,7 +123,7 @@
     }
 }
 
-/// Kind of statements that a route matches.
+/// Kind of the statements that a route matches.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RouteKind {
@@ -134,30 +134,31 @@
     Write,
 }
 
-/// Rules of the statements whose tables all belong to the route.
+/// Settings of the statements that use only tables of the route.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RouteSection {
-    /// Name, shown in logs and metrics.
+    /// Name, which appears in logs and metrics.
     pub name: String,
     /// Database that the route belongs to.
     pub database: String,
-    /// Kind of statements that match.
+    /// Kind of the statements that match.
     pub kind: RouteKind,
-    /// Tables that matching statements may name.
+    /// Tables that a matching statement may use.
     pub tables: Vec<String>,
-    /// Age of data that reads accept, in milliseconds; absent means the primary's data.
+    /// Maximum staleness that reads accept, in milliseconds; without it they need the primary's
+    /// data.
     pub stated_age_ms: Option<u64>,
-    /// Tells that callers without a key may use the route.
+    /// Whether callers without an API key may use the route.
     pub open: bool,
-    /// Tells that matching writes may be repeated without harm.
+    /// Whether matching writes may be retried after an unknown outcome.
     pub idempotent: bool,
-    /// Deadline that replaces the database's, in milliseconds.
+    /// Deadline in milliseconds that overrides the database's.
     pub deadline_ms: Option<u64>,
 }
 
 impl Document {
-    /// Reads and checks a document.
+    /// Parses and validates a document.
     pub fn parse(text: &str) -> Result<Self, DocumentError> {
         let bytes = text.len();
         ensure!(bytes <= MAX_DOCUMENT_BYTES, TooLargeSnafu { bytes });
@@ -166,88 +167,92 @@
         Ok(document)
     }
 
-    /// Checks the rules that the types do not express.
+    /// Checks the requirements that the types do not express.
     pub fn validate(&self) -> Result<(), DocumentError> {
-        let rule = format!("format must be {FORMAT_VERSION}");
+        let requirement = format!("format must be {FORMAT_VERSION}");
         ensure!(
             self.format == FORMAT_VERSION,
-            InvalidValueSnafu { section: "document", name: "format", rule }
+            InvalidValueSnafu { section: "document", name: "format", requirement }
         );
-        check_names("team", self.teams.iter().map(|team| team.name.as_str()))?;
-        check_names("database", self.databases.iter().map(|database| database.name.as_str()))?;
-        check_names("route", self.routes.iter().map(|route| route.name.as_str()))?;
-        self.teams.iter().try_for_each(|team| self.check_team(team))?;
-        self.databases.iter().try_for_each(check_database)?;
-        self.routes.iter().try_for_each(|route| self.check_route(route))
+        validate_names("team", self.teams.iter().map(|team| team.name.as_str()))?;
+        validate_names("database", self.databases.iter().map(|database| database.name.as_str()))?;
+        validate_names("route", self.routes.iter().map(|route| route.name.as_str()))?;
+        self.teams.iter().try_for_each(|team| self.validate_team(team))?;
+        self.databases.iter().try_for_each(validate_database)?;
+        self.routes.iter().try_for_each(|route| self.validate_route(route))
     }
 
-    fn check_team(&self, team: &TeamSection) -> Result<(), DocumentError> {
+    fn validate_team(&self, team: &TeamSection) -> Result<(), DocumentError> {
         let name = &team.name;
-        let usable = |value: f64| value.is_finite() && (0.0..=1e9).contains(&value);
-        let rule = "rate must lie between 0 and 1e9 statements a second";
-        ensure!(usable(team.rate), InvalidValueSnafu { section: "team", name, rule });
-        let rule = "burst must lie between 1 and 1e9 statements";
+        let in_range = |value: f64| value.is_finite() && (0.0..=1e9).contains(&value);
+        let requirement = "rate must be between 0 and 1e9 statements per second";
+        ensure!(in_range(team.rate), InvalidValueSnafu { section: "team", name, requirement });
+        let requirement = "burst must be between 1 and 1e9 statements";
         ensure!(
-            usable(team.burst) && team.burst >= 1.0,
-            InvalidValueSnafu { section: "team", name, rule }
+            in_range(team.burst) && team.burst >= 1.0,
+            InvalidValueSnafu { section: "team", name, requirement }
         );
         for database in &team.databases {
-            let known = self.databases.iter().any(|section| section.name == *database);
-            let rule = format!("database {database:?} is not declared");
-            ensure!(known, InvalidValueSnafu { section: "team", name, rule });
+            let declared = self.databases.iter().any(|section| section.name == *database);
+            let requirement = format!("database {database:?} is not declared");
+            ensure!(declared, InvalidValueSnafu { section: "team", name, requirement });
         }
         Ok(())
     }
 
-    fn check_route(&self, route: &RouteSection) -> Result<(), DocumentError> {
+    fn validate_route(&self, route: &RouteSection) -> Result<(), DocumentError> {
         let name = &route.name;
-        let known = self.databases.iter().any(|database| database.name == route.database);
-        let rule = format!("database {:?} is not declared", route.database);
-        ensure!(known, InvalidValueSnafu { section: "route", name, rule });
-        let rule = "at least one table must be named";
-        ensure!(!route.tables.is_empty(), InvalidValueSnafu { section: "route", name, rule });
-        let write = route.kind == RouteKind::Write;
-        let rule = "stated_age_ms is for reads only";
+        let declared = self.databases.iter().any(|database| database.name == route.database);
+        let requirement = format!("database {:?} is not declared", route.database);
+        ensure!(declared, InvalidValueSnafu { section: "route", name, requirement });
+        let requirement = "at least one table must be named";
         ensure!(
-            !(write && route.stated_age_ms.is_some()),
-            InvalidValueSnafu { section: "route", name, rule }
+            !route.tables.is_empty(),
+            InvalidValueSnafu { section: "route", name, requirement }
+        );
+        let is_write = route.kind == RouteKind::Write;
+        let requirement = "stated_age_ms is allowed on read routes only";
+        ensure!(
+            !(is_write && route.stated_age_ms.is_some()),
+            InvalidValueSnafu { section: "route", name, requirement }
         );
         Ok(())
     }
 }
 
-fn check_database(database: &DatabaseSection) -> Result<(), DocumentError> {
+fn validate_database(database: &DatabaseSection) -> Result<(), DocumentError> {
     let name = &database.name;
     let section = "database";
-    check_names("member", database.members.iter().map(String::as_str))?;
-    let rule = "at least one member must be named";
-    ensure!(!database.members.is_empty(), InvalidValueSnafu { section, name, rule });
-    let rule = "slots and connections must be at least 1";
+    validate_names("member", database.members.iter().map(String::as_str))?;
+    let requirement = "at least one member must be named";
+    ensure!(!database.members.is_empty(), InvalidValueSnafu { section, name, requirement });
+    let requirement = "slots and connections must be at least 1";
     ensure!(
         database.slots > 0 && database.connections > 0,
-        InvalidValueSnafu { section, name, rule }
+        InvalidValueSnafu { section, name, requirement }
     );
-    let rule = "deadline_ms must lie between 1 and 3600000";
+    let requirement = "deadline_ms must be between 1 and 3600000";
     ensure!(
         (1..=3_600_000).contains(&database.deadline_ms),
-        InvalidValueSnafu { section, name, rule }
+        InvalidValueSnafu { section, name, requirement }
     );
     Ok(())
 }
 
-fn check_names<'a>(
+fn validate_names<'a>(
     section: &'static str,
     names: impl Iterator<Item = &'a str>,
 ) -> Result<(), DocumentError> {
-    let mut seen = HashSet::new();
+    let mut names_seen = HashSet::new();
     for name in names {
-        let plain = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-        let valid = !name.is_empty() && name.len() <= 63 && name.chars().all(plain);
-        let rule = "a name has 1 to 63 letters, digits, dots, dashes or underscores";
-        ensure!(valid, InvalidValueSnafu { section, name, rule });
+        let is_allowed =
+            |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
+        let valid = !name.is_empty() && name.len() <= 63 && name.chars().all(is_allowed);
+        let requirement = "name must have 1 to 63 letters, digits, dots, dashes or underscores";
+        ensure!(valid, InvalidValueSnafu { section, name, requirement });
         ensure!(
-            seen.insert(name),
-            InvalidValueSnafu { section, name, rule: "the name stands twice" }
+            names_seen.insert(name),
+            InvalidValueSnafu { section, name, requirement: "name is declared more than once" }
         );
     }
     Ok(())
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,6 +1,6 @@
-//! Plain data of the proxy and its rules: keys, positions, buckets and the configuration document.
+//! Data types and their invariants: credentials, log positions, token buckets and configuration.
 //!
-//! Nothing in this crate performs input or output, reads a clock or starts a thread.
+//! Nothing in this crate performs I/O, reads a clock or starts a thread.
 
 pub mod bucket;
 pub mod catalog;
--- a/crates/state/src/position.rs
+++ b/crates/state/src/position.rs
@@ -1,4 +1,4 @@
-//! Log positions of a database group and the rule by which one covers another.
+//! Positions in a group's replication log, and the status that its members report.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// Errors of reading a position from text.
+/// Errors of parsing a member's position or status.
 #[derive(Debug, Snafu)]
 pub enum PositionError {
-    /// The text has too few fields.
+    /// A field is missing.
     #[snafu(display("position {text:?} lacks the field {field}"))]
     MissingField {
-        /// Text that was read.
+        /// Text that was parsed.
         text: String,
         /// Name of the missing field.
         field: &'static str,
@@ -20,27 +20,27 @@
     /// A numeric field is not a number.
     #[snafu(display("position {text:?} has a field that is not a number"))]
     InvalidNumber {
-        /// Text that was read.
+        /// Text that was parsed.
         text: String,
-        /// Cause reported by the standard library.
+        /// Error of the integer parser.
         source: std::num::ParseIntError,
     },
     /// The role field is unknown.
     #[snafu(display("position {text:?} has an unknown role"))]
     UnknownRole {
-        /// Text that was read.
+        /// Text that was parsed.
         text: String,
     },
 }
 
-/// Place in a group's log: the term that wrote the entry and the entry's index.
+/// Position in a group's replication log: the term and the index of an entry.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct LogPosition {
     /// Term under which the entry was written.
     pub term: u64,
-    /// Index of the entry, counted from 1 over all terms.
+    /// Index of the entry; counts from 1 and continues across terms.
     pub index: u64,
 }
 
@@ -61,16 +61,16 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberRole {
-    /// Accepts writes and ships its log.
+    /// Accepts writes and replicates its log.
     Primary,
     /// Applies the log of a primary.
     Replica,
-    /// Accepted a fence and waits for the new primary.
+    /// Accepted a fence and waits to follow the new primary.
     Fenced,
 }
 
 impl MemberRole {
-    /// Returns the one-letter form used on the wire.
+    /// Returns the letter for this role on the wire.
     pub fn letter(self) -> char {
         match self {
             Self::Primary => 'P',
@@ -80,35 +80,35 @@
     }
 }
 
-/// Position that a member reports with every answer.
+/// Role and position that a member reports with every answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MemberPosition {
     /// Role of the member when it answered.
     pub role: MemberRole,
-    /// Term of the primary whose log the member holds.
+    /// Term of the primary whose log the member has.
     pub term: u64,
-    /// Last index whose effects the member's reads show.
+    /// Index of the last applied entry, which reads on the member reflect.
     pub applied: u64,
     /// Index at which `term` started.
     pub term_start: u64,
 }
 
 impl MemberPosition {
-    /// Tells whether reads on this member show everything that `seen` shows.
+    /// Returns whether reads on this member reflect everything up to `target`.
     ///
-    /// A position of an older term counts only up to the start of the member's term, because
-    /// entries past it were never acknowledged.
-    pub fn has_applied(&self, seen: LogPosition) -> bool {
-        if self.term < seen.term {
+    /// A target of an older term matters only up to the start of the member's term, because entries
+    /// past that index were never acknowledged.
+    pub fn has_applied(&self, target: LogPosition) -> bool {
+        if self.term < target.term {
             return false;
         }
-        if self.term == seen.term {
-            return self.applied >= seen.index;
+        if self.term == target.term {
+            return self.applied >= target.index;
         }
-        self.applied >= seen.index.min(self.term_start)
+        self.applied >= target.index.min(self.term_start)
     }
 
-    /// Returns the log position up to which reads on this member reach.
+    /// Returns the position of the last applied entry.
     pub fn applied_position(&self) -> LogPosition {
         LogPosition::new(self.term, self.applied)
     }
@@ -145,23 +145,24 @@
     }
 }
 
-/// Full state of a member, the answer to `SHOW group.status`.
+/// Status of a member, the answer to `SHOW group.status`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MemberStatus {
-    /// Role, term and applied position.
+    /// Role and applied position.
     pub position: MemberPosition,
-    /// Highest term that the member has accepted a fence or primary of.
+    /// Highest term of which the member accepted a fence or a primary.
     pub promised: u64,
-    /// Term of the last entry that the member holds.
+    /// Term of the last received entry.
     pub last_term: u64,
-    /// Index of the last entry that the member holds, applied or not.
+    /// Index of the last received entry, applied or not.
     pub received: u64,
-    /// Milliseconds since the member last heard its primary; zero on a primary.
+    /// Milliseconds since the member last received a message from its primary; zero on a primary.
     pub last_contact_ms: u64,
 }
 
 impl MemberStatus {
-    /// Returns the position by which candidates for promotion are compared.
+    /// Returns the position of the last received entry; the candidate with the highest one is
+    /// promoted.
     pub fn last_entry(&self) -> LogPosition {
         LogPosition::new(self.last_term, self.received)
     }
--- a/crates/state/src/session.rs
+++ b/crates/state/src/session.rs
@@ -1,62 +1,65 @@
-//! Positions that a session has seen, one for each database it used.
+//! Log positions that a session has observed, one per database that it used.
 
 use std::sync::Arc;
 
 use crate::position::LogPosition;
 
-/// Highest position seen in one database.
+/// Highest position that a session observed in one database.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DatabasePosition {
     /// Name of the database.
     pub database: Arc<str>,
-    /// Highest position that a read or write of the session showed.
+    /// Highest position that a read or write of the session reflected.
     pub position: LogPosition,
 }
 
-/// Positions of one session; a missing entry means that the session stands behind the barrier.
+/// Observed positions of one session.
+///
+/// Without an entry for a database, the session's next read there needs a barrier: it must reflect
+/// every write that was acknowledged before the session began.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SessionPositions {
-    seen: Vec<DatabasePosition>,
+    entries: Vec<DatabasePosition>,
 }
 
 impl SessionPositions {
-    /// Returns the position seen in `database`, or none if a barrier is still due.
+    /// Returns the position observed in `database`, or `None` if the next read needs a barrier.
     pub fn get(&self, database: &str) -> Option<LogPosition> {
-        self.seen.iter().find(|seen| &*seen.database == database).map(|seen| seen.position)
+        self.entries.iter().find(|entry| &*entry.database == database).map(|entry| entry.position)
     }
 
-    /// Raises the position seen in `database` and tells whether it moved.
+    /// Raises the position of `database` to at least `position` and returns whether it changed.
     pub fn advance(&mut self, database: &Arc<str>, position: LogPosition) -> bool {
-        let Some(seen) = self.seen.iter_mut().find(|seen| seen.database == *database) else {
-            self.seen.push(DatabasePosition { database: database.clone(), position });
+        let Some(entry) = self.entries.iter_mut().find(|entry| entry.database == *database) else {
+            self.entries.push(DatabasePosition { database: database.clone(), position });
             return true;
         };
-        if seen.position >= position {
+        if entry.position >= position {
             return false;
         }
-        seen.position = position;
+        entry.position = position;
         true
     }
 
-    /// Raises every position to at least that of `other`.
+    /// Raises every position to at least that in `other`.
     pub fn merge(&mut self, other: &Self) {
-        for seen in &other.seen {
-            self.advance(&seen.database, seen.position);
+        for entry in &other.entries {
+            self.advance(&entry.database, entry.position);
         }
     }
 
-    /// Iterates over the positions seen.
+    /// Iterates over the observed positions.
     pub fn iter(&self) -> impl Iterator<Item = &DatabasePosition> {
-        self.seen.iter()
+        self.entries.iter()
     }
 
-    /// Returns the number of databases with a position.
+    /// Returns the number of databases with an observed position.
     pub fn len(&self) -> usize {
-        self.seen.len()
+        self.entries.len()
     }
 
-    /// Tells whether no database has a position.
+    /// Returns whether no database has an observed position.
     pub fn is_empty(&self) -> bool {
-        self.seen.is_empty()
+        self.entries.is_empty()
     }
 }
--- a/crates/state/src/token.rs
+++ b/crates/state/src/token.rs
@@ -1,7 +1,7 @@
-//! Session token: the positions of a session as an opaque text with an integrity check.
+//! Session token: the observed positions of a session as opaque, authenticated text.
 //!
-//! Layout before base64: version byte, count byte, then for each database its name's length,
-//! its name, term and index as 64-bit big-endian numbers, and last a truncated HMAC-SHA-256.
+//! Layout before base64: a version byte and a count byte; for each database the length of its name
+//! in one byte, the name, and term and index as big-endian `u64`; last a truncated HMAC-SHA-256.
 
 use std::sync::Arc;
 
@@ -14,109 +14,110 @@
 use crate::position::LogPosition;
 use crate::session::SessionPositions;
 
-/// Version written into new tokens.
-const VERSION: u8 = 1;
-/// Length of the truncated authentication code in bytes.
-const CODE_BYTES: usize = 16;
-/// Largest number of databases that one token names.
+/// Format version of new tokens.
+const TOKEN_VERSION: u8 = 1;
+/// Length of the truncated message authentication code.
+const MAC_BYTES: usize = 16;
+/// Maximum number of databases in a token.
 const MAX_DATABASES: usize = 64;
-/// Largest accepted length of a token's text.
-const MAX_TEXT_BYTES: usize = 16 * 1024;
+/// Maximum length of an accepted token.
+const MAX_TOKEN_BYTES: usize = 16 * 1024;
 
-/// Errors of reading a session token.
+/// Errors of decoding a session token.
 #[derive(Debug, Eq, PartialEq, Snafu)]
 pub enum TokenError {
-    /// The text is not base64 or is too long.
-    #[snafu(display("session token is not valid base64"))]
+    /// The token is too long, or is not base64 or UTF-8 where it must be.
+    #[snafu(display("session token is too long or has an invalid encoding"))]
     Encoding,
-    /// The token was written by a version that this program does not know.
-    #[snafu(display("session token has the unknown version {version}"))]
+    /// The token has a format version that this program does not support.
+    #[snafu(display("session token has the unsupported version {version}"))]
     UnknownVersion {
-        /// Version found.
+        /// Version in the token.
         version: u8,
     },
-    /// The integrity check failed.
-    #[snafu(display("session token fails its integrity check"))]
+    /// The message authentication code does not match.
+    #[snafu(display("session token failed its integrity check"))]
     Integrity,
-    /// The token ends early or has bytes left over.
-    #[snafu(display("session token is cut short"))]
+    /// The token is truncated or has trailing bytes.
+    #[snafu(display("session token is truncated or has trailing bytes"))]
     InvalidLength,
 }
 
-/// Writes and reads session tokens under a secret shared by all instances.
+/// Encodes and decodes session tokens with a secret that all instances share.
 #[derive(Clone)]
 pub struct TokenCodec {
-    code: Hmac<Sha256>,
+    mac: Hmac<Sha256>,
 }
 
 impl TokenCodec {
-    /// Creates a codec from the shared secret.
+    /// Creates a codec with the shared secret.
     pub fn new(secret: &[u8]) -> Self {
-        let code = Hmac::<Sha256>::new_from_slice(secret).expect("HMAC takes keys of any length");
-        Self { code }
+        let mac = Hmac::<Sha256>::new_from_slice(secret).expect("HMAC takes keys of any length");
+        Self { mac }
     }
 
-    /// Writes `positions` as a token.
+    /// Encodes the first [`MAX_DATABASES`] of `positions` as a token.
     pub fn encode(&self, positions: &SessionPositions) -> String {
-        let mut bytes = vec![VERSION, positions.len().min(MAX_DATABASES) as u8];
-        for seen in positions.iter().take(MAX_DATABASES) {
-            bytes.push(seen.database.len().min(255) as u8);
-            bytes.extend_from_slice(&seen.database.as_bytes()[..seen.database.len().min(255)]);
-            bytes.extend_from_slice(&seen.position.term.to_be_bytes());
-            bytes.extend_from_slice(&seen.position.index.to_be_bytes());
+        let mut bytes = vec![TOKEN_VERSION, positions.len().min(MAX_DATABASES) as u8];
+        for entry in positions.iter().take(MAX_DATABASES) {
+            bytes.push(entry.database.len().min(255) as u8);
+            bytes.extend_from_slice(&entry.database.as_bytes()[..entry.database.len().min(255)]);
+            bytes.extend_from_slice(&entry.position.term.to_be_bytes());
+            bytes.extend_from_slice(&entry.position.index.to_be_bytes());
         }
-        let code = self.sign(&bytes);
-        bytes.extend_from_slice(&code);
+        let mac = self.compute_mac(&bytes);
+        bytes.extend_from_slice(&mac);
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Reads a token back into positions.
-    pub fn decode(&self, text: &str) -> Result<SessionPositions, TokenError> {
-        ensure!(text.len() <= MAX_TEXT_BYTES, EncodingSnafu);
-        let bytes = URL_SAFE_NO_PAD.decode(text).ok().context(EncodingSnafu)?;
-        let split = bytes.len().checked_sub(CODE_BYTES).context(InvalidLengthSnafu)?;
-        let (body, code) = bytes.split_at(split);
-        let expected = self.sign(body);
-        let difference = expected.iter().zip(code).fold(0_u8, |sum, (a, b)| sum | (a ^ b));
+    /// Decodes a token and verifies its authentication code.
+    pub fn decode(&self, token: &str) -> Result<SessionPositions, TokenError> {
+        ensure!(token.len() <= MAX_TOKEN_BYTES, EncodingSnafu);
+        let bytes = URL_SAFE_NO_PAD.decode(token).ok().context(EncodingSnafu)?;
+        let body_length = bytes.len().checked_sub(MAC_BYTES).context(InvalidLengthSnafu)?;
+        let (body, mac) = bytes.split_at(body_length);
+        let expected = self.compute_mac(body);
+        let difference = expected.iter().zip(mac).fold(0_u8, |sum, (a, b)| sum | (a ^ b));
         ensure!(difference == 0, IntegritySnafu);
-        read_body(body)
+        parse_body(body)
     }
 
-    fn sign(&self, body: &[u8]) -> [u8; CODE_BYTES] {
-        let mut code = self.code.clone();
-        code.update(body);
-        let full = code.finalize().into_bytes();
-        let mut short = [0; CODE_BYTES];
-        short.copy_from_slice(&full[..CODE_BYTES]);
-        short
+    fn compute_mac(&self, body: &[u8]) -> [u8; MAC_BYTES] {
+        let mut mac = self.mac.clone();
+        mac.update(body);
+        let digest = mac.finalize().into_bytes();
+        let mut truncated = [0; MAC_BYTES];
+        truncated.copy_from_slice(&digest[..MAC_BYTES]);
+        truncated
     }
 }
 
-fn read_body(body: &[u8]) -> Result<SessionPositions, TokenError> {
+fn parse_body(body: &[u8]) -> Result<SessionPositions, TokenError> {
     let mut cursor = body;
-    let version = take(&mut cursor, 1)?[0];
-    ensure!(version == VERSION, UnknownVersionSnafu { version });
-    let count = take(&mut cursor, 1)?[0];
+    let version = take_bytes(&mut cursor, 1)?[0];
+    ensure!(version == TOKEN_VERSION, UnknownVersionSnafu { version });
+    let count = take_bytes(&mut cursor, 1)?[0];
     let mut positions = SessionPositions::default();
     for _ in 0..count {
-        let length = usize::from(take(&mut cursor, 1)?[0]);
-        let name = std::str::from_utf8(take(&mut cursor, length)?).ok().context(EncodingSnafu)?;
+        let length = usize::from(take_bytes(&mut cursor, 1)?[0]);
+        let name =
+            std::str::from_utf8(take_bytes(&mut cursor, length)?).ok().context(EncodingSnafu)?;
         let database = Arc::<str>::from(name);
-        let term = take_number(&mut cursor)?;
-        let index = take_number(&mut cursor)?;
+        let term = take_u64(&mut cursor)?;
+        let index = take_u64(&mut cursor)?;
         positions.advance(&database, LogPosition::new(term, index));
     }
     ensure!(cursor.is_empty(), InvalidLengthSnafu);
     Ok(positions)
 }
 
-fn take<'a>(cursor: &mut &'a [u8], length: usize) -> Result<&'a [u8], TokenError> {
+fn take_bytes<'a>(cursor: &mut &'a [u8], length: usize) -> Result<&'a [u8], TokenError> {
     let (head, tail) = cursor.split_at_checked(length).context(InvalidLengthSnafu)?;
     *cursor = tail;
     Ok(head)
 }
 
-fn take_number(cursor: &mut &[u8]) -> Result<u64, TokenError> {
-    let bytes = take(cursor, 8)?;
+fn take_u64(cursor: &mut &[u8]) -> Result<u64, TokenError> {
+    let bytes = take_bytes(cursor, 8)?;
     Ok(bytes.iter().fold(0_u64, |sum, byte| (sum << 8) | u64::from(*byte)))
 }
--- a/crates/state/tests/rules.rs
+++ b/crates/state/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Rules of positions, tokens, buckets, credentials and documents.
+//! Invariants of positions, session tokens, token buckets, credentials and documents.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 use state::session::SessionPositions;
 use state::token::{TokenCodec, TokenError};
 
-/// Names each case of a rule.
+/// Defines one test per case of a check.
 macro_rules! cases {
     ($check:ident { $($name:ident: $input:expr;)* }) => {
         $(
@@ -24,45 +24,45 @@
     };
 }
 
-struct CoverCase {
+struct AppliedCase {
     member: (u64, u64, u64),
-    seen: (u64, u64),
-    covers: bool,
+    target: (u64, u64),
+    expected: bool,
 }
 
-fn check_cover(case: CoverCase) {
+fn check_has_applied(case: AppliedCase) {
     let (term, applied, term_start) = case.member;
     let member = MemberPosition { role: MemberRole::Replica, term, applied, term_start };
-    let seen = LogPosition::new(case.seen.0, case.seen.1);
-    assert_eq!(member.has_applied(seen), case.covers);
+    let target = LogPosition::new(case.target.0, case.target.1);
+    assert_eq!(member.has_applied(target), case.expected);
 }
 
 cases! {
-    check_cover {
-        same_term_and_behind: CoverCase { member: (2, 9, 4), seen: (2, 10), covers: false };
-        same_term_and_level: CoverCase { member: (2, 10, 4), seen: (2, 10), covers: true };
-        member_of_an_older_term: CoverCase { member: (1, 99, 0), seen: (2, 5), covers: false };
-        old_position_past_the_term_start: CoverCase { member: (2, 5, 4), seen: (1, 7), covers: true };
-        old_position_before_the_term_start: CoverCase { member: (3, 5, 9), seen: (1, 7), covers: false };
+    check_has_applied {
+        same_term_behind: AppliedCase { member: (2, 9, 4), target: (2, 10), expected: false };
+        same_term_caught_up: AppliedCase { member: (2, 10, 4), target: (2, 10), expected: true };
+        member_of_an_older_term: AppliedCase { member: (1, 99, 0), target: (2, 5), expected: false };
+        older_target_past_the_term_start: AppliedCase { member: (2, 5, 4), target: (1, 7), expected: true };
+        older_target_before_the_term_start: AppliedCase { member: (3, 5, 9), target: (1, 7), expected: false };
     }
 }
 
-fn check_refused_document(case: (&str, &str)) {
+fn check_invalid_document(case: (&str, &str)) {
     let (text, expected) = case;
-    let error = Document::parse(text).expect_err("the document is refused").to_string();
+    let error = Document::parse(text).expect_err("the document is rejected").to_string();
     assert!(error.contains(expected), "{error}");
 }
 
 cases! {
-    check_refused_document {
-        unknown_field_with_its_place: ("format = 1\n[[team]]\nname = \"a\"\nrates = 3\n", "line 4, column 1");
-        unknown_format: ("format = 2\n", "format must be 1");
-        name_that_stands_twice: ("format = 1\n[[team]]\nname = \"a\"\n[[team]]\nname = \"a\"\n", "stands twice");
+    check_invalid_document {
+        unknown_field_with_line_and_column: ("format = 1\n[[team]]\nname = \"a\"\nrates = 3\n", "line 4, column 1");
+        unsupported_format_version: ("format = 2\n", "format must be 1");
+        duplicate_name: ("format = 1\n[[team]]\nname = \"a\"\n[[team]]\nname = \"a\"\n", "name is declared more than once");
         name_with_a_space: ("format = 1\n[[team]]\nname = \"a b\"\n", "1 to 63");
-        rate_that_is_no_number: ("format = 1\n[[team]]\nname = \"a\"\nrate = nan\n", "rate must lie");
-        route_without_its_database: ("format = 1\n[[route]]\nname = \"r\"\ndatabase = \"d\"\ntables = [\"t\"]\n", "is not declared");
+        rate_that_is_not_a_number: ("format = 1\n[[team]]\nname = \"a\"\nrate = nan\n", "rate must be between");
+        route_of_an_undeclared_database: ("format = 1\n[[route]]\nname = \"r\"\ndatabase = \"d\"\ntables = [\"t\"]\n", "is not declared");
         database_without_members: ("format = 1\n[[database]]\nname = \"d\"\n", "at least one member");
-        key_that_is_no_hash: ("format = 1\n[[team]]\nname = \"a\"\nkeys = [\"secret\"]\n", "sha256$salt$digest");
+        malformed_key_hash: ("format = 1\n[[team]]\nname = \"a\"\nkeys = [\"secret\"]\n", "sha256$salt$digest");
     }
 }
 
@@ -70,14 +70,14 @@
 fn example_documents_are_valid() {
     for name in ["volksdans", "apmpa"] {
         let path = format!("{}/../../examples/{name}.toml", env!("CARGO_MANIFEST_DIR"));
-        let text = std::fs::read_to_string(path).expect("the example is there");
+        let text = std::fs::read_to_string(path).expect("the example can be read");
         let document = Document::parse(&text).expect("the example is valid");
         assert_eq!((document.teams.len(), document.databases.len()), (9, 3));
     }
 }
 
 #[test]
-fn keys_of_names_outlive_a_change_of_the_document() {
+fn ids_stay_stable_across_revisions() {
     let first = Document::parse("format = 1\n[[team]]\nname = \"a\"\n[[team]]\nname = \"b\"\n");
     let second = Document::parse("format = 1\n[[team]]\nname = \"b\"\nrate = 7\n");
     let before = DocumentCatalog::default().updated(1, &first.expect("valid"));
@@ -89,16 +89,16 @@
 }
 
 #[test]
-fn a_key_matches_its_own_hash_only() {
+fn key_hash_matches_its_own_key_only() {
     let hash = KeyHash::generate("right");
-    let again: KeyHash = hash.to_string().parse().expect("the printed form is read back");
-    assert!(again.matches("right") && !again.matches("wrong") && !again.matches(""));
+    let parsed: KeyHash = hash.to_string().parse().expect("the text form is valid");
+    assert!(parsed.matches("right") && !parsed.matches("wrong") && !parsed.matches(""));
     assert!(!format!("{hash:?}").contains("right"));
 }
 
-fn positions(seen: &[(u8, u64, u64)]) -> SessionPositions {
+fn positions(entries: &[(u8, u64, u64)]) -> SessionPositions {
     let mut positions = SessionPositions::default();
-    for (name, term, index) in seen {
+    for (name, term, index) in entries {
         let database = Arc::from(format!("database-{name}"));
         positions.advance(&database, LogPosition::new(*term, *index));
     }
@@ -106,60 +106,60 @@
 }
 
 quickcheck! {
-    fn a_token_is_read_back_as_written(seen: Vec<(u8, u64, u64)>) -> bool {
-        let seen: Vec<_> = seen.into_iter().take(60).collect();
+    fn token_round_trip(entries: Vec<(u8, u64, u64)>) -> bool {
+        let entries: Vec<_> = entries.into_iter().take(60).collect();
         let codec = TokenCodec::new(b"secret");
-        codec.decode(&codec.encode(&positions(&seen))) == Ok(positions(&seen))
+        codec.decode(&codec.encode(&positions(&entries))) == Ok(positions(&entries))
     }
 
-    fn a_changed_token_is_refused(seen: Vec<(u8, u64, u64)>, place: usize, letter: u8) -> bool {
-        let seen: Vec<_> = seen.into_iter().take(60).collect();
+    fn modified_token_is_rejected(entries: Vec<(u8, u64, u64)>, index: usize, letter: u8) -> bool {
+        let entries: Vec<_> = entries.into_iter().take(60).collect();
         let codec = TokenCodec::new(b"secret");
-        let token = codec.encode(&positions(&seen));
+        let token = codec.encode(&positions(&entries));
         let mut bytes = token.clone().into_bytes();
-        let place = place % bytes.len();
-        bytes[place] = b'A' + letter % 26;
-        let changed = String::from_utf8_lossy(&bytes).into_owned();
-        changed == token || codec.decode(&changed).is_err()
+        let index = index % bytes.len();
+        bytes[index] = b'A' + letter % 26;
+        let modified = String::from_utf8_lossy(&bytes).into_owned();
+        modified == token || codec.decode(&modified).is_err()
     }
 
-    fn any_text_is_refused_without_a_panic(text: String) -> bool {
+    fn arbitrary_text_is_rejected_without_a_panic(text: String) -> bool {
         TokenCodec::new(b"secret").decode(&text).is_err()
             && text.parse::<KeyHash>().is_err()
             && text.parse::<MemberStatus>().is_err()
     }
 
-    fn a_status_is_read_back_as_written(numbers: (u64, u64, u64, u64, u64, u64)) -> bool {
-        let (term, applied, term_start, promised, received, heard_ms) = numbers;
+    fn status_round_trip(numbers: (u64, u64, u64, u64, u64, u64)) -> bool {
+        let (term, applied, term_start, promised, received, last_contact_ms) = numbers;
         let position = MemberPosition { role: MemberRole::Fenced, term, applied, term_start };
         let status =
-            MemberStatus { position, promised, last_term: term, received, last_contact_ms: heard_ms };
+            MemberStatus { position, promised, last_term: term, received, last_contact_ms };
         status.to_string().parse::<MemberStatus>().ok() == Some(status)
     }
 
-    fn a_bucket_never_exceeds_rate_and_burst(steps: Vec<(u16, u8)>) -> bool {
-        let begin = Instant::now();
+    fn bucket_never_exceeds_rate_and_burst(steps: Vec<(u16, u8)>) -> bool {
+        let start = Instant::now();
         let (rate, burst) = (50.0, 20.0);
-        let mut bucket = TokenBucket::empty(rate, burst, begin);
-        let (mut now, mut taken) = (begin, Vec::new());
+        let mut bucket = TokenBucket::empty(rate, burst, start);
+        let (mut now, mut taken_at) = (start, Vec::new());
         for (millis, count) in steps {
             now += Duration::from_millis(millis.into());
             for _ in 0..count {
                 if bucket.take(1.0, now).is_ok() {
-                    taken.push(now);
+                    taken_at.push(now);
                 }
             }
         }
-        let last = taken.last().copied().unwrap_or(begin);
-        taken.iter().enumerate().all(|(index, first)| {
+        let last = taken_at.last().copied().unwrap_or(start);
+        taken_at.iter().enumerate().all(|(index, first)| {
             let window = (last - *first).as_secs_f64();
-            (taken.len() - index) as f64 <= rate * window + burst + 1e-6
+            (taken_at.len() - index) as f64 <= rate * window + burst + 1e-6
         })
     }
 }
 
 #[test]
-fn a_token_of_another_secret_is_refused() {
+fn token_of_another_secret_is_rejected() {
     let token = TokenCodec::new(b"one").encode(&positions(&[(1, 2, 3)]));
     assert_eq!(TokenCodec::new(b"two").decode(&token), Err(TokenError::Integrity));
 }
