--- a/crates/coord/tests/decisions.rs
+++ b/crates/coord/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Routing, age bounds, fair queues and proofs against their simplest forms.
+//! Routing, staleness bounds, fair queues and validation, checked against simple models.
 
 mod common;
 
@@ -19,43 +19,43 @@
     let term = 1 + choices.below(3) as u64;
     let applied = choices.below(20) as u64;
     let term_start = choices.below(applied as usize + 1) as u64;
-    let age = Duration::from_millis(choices.below(100) as u64);
+    let staleness = Duration::from_millis(choices.below(100) as u64);
     MemberView {
         position: MemberPosition { role, term, applied, term_start },
         reachable: choices.below(4) > 0,
-        complete_at: (choices.below(4) > 0).then(|| now - age),
+        complete_at: (choices.below(4) > 0).then(|| now - staleness),
         load: choices.below(3) as u32,
         near: choices.below(2) == 0,
     }
 }
 
-/// A read goes to a member that may serve it, and to a replica whenever one may.
+/// Checks that a read goes to a replica that may serve it, and to the primary only if none may.
 #[test]
-fn reads_go_to_members_that_may_serve_them() {
+fn reads_go_to_replicas_that_may_serve_them() {
     check_cases(3_000, 60, |choices| {
         let now = Instant::now() + Duration::from_secs(10);
         let members: Vec<MemberView> = (0..3).map(|_| random_view(choices, now)).collect();
-        let limit = Duration::from_millis(choices.below(100) as u64);
-        let seen = LogPosition::new(1 + choices.below(3) as u64, choices.below(20) as u64);
-        let needs = ReadNeeds {
-            stated_age: (choices.below(3) > 0).then_some(limit),
-            seen: (choices.below(2) == 0).then_some(seen),
+        let max_staleness = Duration::from_millis(choices.below(100) as u64);
+        let min_position = LogPosition::new(1 + choices.below(3) as u64, choices.below(20) as u64);
+        let requirements = ReadNeeds {
+            stated_age: (choices.below(3) > 0).then_some(max_staleness),
+            seen: (choices.below(2) == 0).then_some(min_position),
             began_at: now - Duration::from_millis(choices.below(100) as u64),
         };
-        let may = |view: &MemberView| {
-            let young = |age: Duration| view.complete_at.is_some_and(|at| now - at <= age);
+        let may_serve = |view: &MemberView| {
+            let is_fresh = |limit: Duration| view.complete_at.is_some_and(|at| now - at <= limit);
             view.reachable
                 && view.position.role != MemberRole::Primary
-                && needs.stated_age.is_some_and(young)
-                && match needs.seen {
-                    Some(seen) => view.position.has_applied(seen),
-                    None => view.complete_at.is_some_and(|at| at >= needs.began_at),
+                && requirements.stated_age.is_some_and(is_fresh)
+                && match requirements.seen {
+                    Some(position) => view.position.has_applied(position),
+                    None => view.complete_at.is_some_and(|at| at >= requirements.began_at),
                 }
         };
-        match route_read(&members, &needs, now) {
-            RouteTarget::Replica(index) => assert!(may(&members[index])),
+        match route_read(&members, &requirements, now) {
+            RouteTarget::Replica(index) => assert!(may_serve(&members[index])),
             other => {
-                assert!(!members.iter().any(may), "a replica could have served");
+                assert!(!members.iter().any(may_serve), "a replica could have served");
                 assert_eq!(other, route_write(&members));
             }
         }
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn a_replica_is_complete_up_to_the_last_question_it_covers() {
-    let begin = Instant::now();
-    let at = |millis| begin + Duration::from_millis(millis);
+fn replica_is_fresh_as_of_the_last_primary_position_it_applied() {
+    let start = Instant::now();
+    let at = |millis| start + Duration::from_millis(millis);
     let position =
         |applied| MemberPosition { role: MemberRole::Replica, term: 1, applied, term_start: 0 };
     let mut tracker = FreshnessTracker::new(2);
@@ -76,56 +76,56 @@
     assert_eq!(tracker.complete_at(1), Some(at(50)));
     assert_eq!(tracker.age(1, at(130)), Some(Duration::from_millis(80)));
     tracker.record_member(1, &position(4));
-    assert_eq!(tracker.complete_at(1), Some(at(50)), "what was shown stays shown");
+    assert_eq!(tracker.complete_at(1), Some(at(50)), "a known freshness is never lowered");
     assert_eq!(tracker.complete_at(0), None);
 }
 
 #[test]
-fn keys_stop_before_their_withdrawal_must_be_in_force() {
+fn keys_expire_before_their_revocation_deadline() {
     for millis in [200, 1_000, 2_000, 5_000, 60_000] {
         let bound = Duration::from_millis(millis);
         let limit = withdrawal_limit(bound);
-        assert!(limit < bound, "an admitted request still takes its time");
-        assert!(limit * 2 >= bound, "there is time for a proof, {limit:?} of {bound:?}");
+        assert!(limit < bound, "an admitted request needs time to finish");
+        assert!(limit * 2 >= bound, "too little time to validate: {limit:?} of {bound:?}");
     }
 }
 
 #[test]
-fn a_proof_of_another_instance_ages_from_before_the_question() {
-    let begin = Instant::now();
-    let at = |millis| begin + Duration::from_millis(millis);
-    let word = |version| PeerWord::Answered {
+fn validation_by_a_peer_ages_from_before_the_request() {
+    let start = Instant::now();
+    let at = |millis| start + Duration::from_millis(millis);
+    let answer = |version| PeerWord::Answered {
         version,
         proof_age: Some(Duration::from_millis(300)),
         store_down: false,
     };
     let mut machine = ConfirmationMachine::default();
     machine.adopt(4);
-    machine.record_peer(1, at(1_000), word(3));
-    assert_eq!(machine.proof_age(at(1_100)), None, "it proves another document");
-    machine.record_peer(1, at(1_000), word(4));
+    machine.record_peer(1, at(1_000), answer(3));
+    assert_eq!(machine.proof_age(at(1_100)), None, "it validates another version");
+    machine.record_peer(1, at(1_000), answer(4));
     assert_eq!(machine.proof_age(at(1_100)), Some(Duration::from_millis(400)));
 }
 
-/// Runs a queue in which some teams always wait, and returns the time each was served.
-fn serve(capacity: usize, holds: &[u64], rounds: usize) -> Vec<Duration> {
-    let begin = Instant::now();
-    let mut now = begin;
+/// Simulates a queue in which every team always waits, and returns the service time of each team.
+fn simulate_queue(capacity: usize, hold_millis: &[u64], rounds: usize) -> Vec<Duration> {
+    let start = Instant::now();
+    let mut now = start;
     let mut queue: FairQueue<usize, usize> = FairQueue::new(capacity);
-    let mut served = vec![Duration::ZERO; holds.len()];
+    let mut served = vec![Duration::ZERO; hold_millis.len()];
     let mut running: Vec<(Instant, usize, Duration)> = Vec::new();
-    let far = begin + Duration::from_secs(100_000);
-    let mut waiting = vec![0; holds.len()];
+    let deadline = start + Duration::from_secs(100_000);
+    let mut waiting = vec![0; hold_millis.len()];
     for _ in 0..rounds {
         for (team, count) in waiting.iter_mut().enumerate() {
             while *count < 10 {
-                queue.push(team, team, far, now).expect("the queue has room");
+                queue.push(team, team, deadline, now).expect("the queue accepts the request");
                 *count += 1;
             }
         }
         while let Some((team, _)) = queue.pop(now, &mut Vec::new()) {
             waiting[team] -= 1;
-            let hold = Duration::from_millis(holds[team]);
+            let hold = Duration::from_millis(hold_millis[team]);
             running.push((now + hold, team, hold));
         }
         assert!(queue.in_use() <= capacity);
@@ -141,35 +141,35 @@
 }
 
 #[test]
-fn teams_that_always_wait_get_equal_time() {
-    let served = serve(3, &[10, 10, 10, 10], 4_000);
+fn teams_that_always_wait_get_equal_service_time() {
+    let served = simulate_queue(3, &[10, 10, 10, 10], 4_000);
     let (least, most) = (served.iter().min(), served.iter().max());
     let (least, most) = (least.expect("teams"), most.expect("teams"));
     assert!(least.as_secs_f64() >= 0.9 * most.as_secs_f64(), "{served:?}");
 }
 
 #[test]
-fn a_team_of_slow_statements_gets_no_more_time() {
-    let served = serve(3, &[100, 10, 10], 6_000);
+fn slow_statements_get_no_extra_service_time() {
+    let served = simulate_queue(3, &[100, 10, 10], 6_000);
     let slow = served[0].as_secs_f64();
-    let quick = served[1].as_secs_f64();
-    assert!(slow <= 1.3 * quick, "{served:?}");
+    let fast = served[1].as_secs_f64();
+    assert!(slow <= 1.3 * fast, "{served:?}");
 }
 
 #[test]
-fn one_team_uses_idle_capacity() {
+fn single_team_uses_idle_capacity() {
     let now = Instant::now();
     let mut queue: FairQueue<usize, ()> = FairQueue::new(3);
     assert!((0..3).all(|_| queue.try_take(1, now)));
     assert!(!queue.try_take(1, now), "no more than the capacity");
     assert!(!queue.try_take(2, now));
-    queue.push(2, (), now + Duration::from_secs(1), now).expect("it may wait");
+    queue.push(2, (), now + Duration::from_secs(1), now).expect("the queue accepts the request");
     queue.release(1, Duration::from_millis(1));
     assert_eq!(queue.pop(now, &mut Vec::new()), Some((2, ())));
 }
 
 #[test]
-fn what_cannot_start_in_time_is_refused() {
+fn requests_that_would_miss_their_deadline_are_refused() {
     let now = Instant::now();
     let mut queue: FairQueue<usize, u32> = FairQueue::new(1);
     for _ in 0..50 {
@@ -177,96 +177,102 @@
         queue.release(1, Duration::from_millis(100));
     }
     assert!(queue.try_take(1, now));
-    let soon = now + Duration::from_millis(150);
+    let deadline = now + Duration::from_millis(150);
     let mut waiting = 0;
-    while queue.push(2, waiting, soon, now).is_ok() {
+    while queue.push(2, waiting, deadline, now).is_ok() {
         waiting += 1;
         assert!(waiting < 10, "the queue grows past the deadline");
     }
     let mut expired = Vec::new();
-    assert_eq!(queue.pop(soon, &mut expired), None);
-    assert_eq!(expired.len() as u32, waiting, "late requests are given back");
+    assert_eq!(queue.pop(deadline, &mut expired), None);
+    assert_eq!(expired.len() as u32, waiting, "expired requests are returned");
 }
 
 #[test]
-fn ranks_are_a_permutation_and_move_little() {
+fn ranks_are_a_balanced_permutation() {
     let names: Vec<String> = (0..9).map(|number| format!("entry-{number}")).collect();
-    let all = || names.iter().map(String::as_str);
-    let mut firsts = vec![0; names.len()];
+    let candidates = || names.iter().map(String::as_str);
+    let mut first_counts = vec![0; names.len()];
     for database in 0..900 {
         let subject = format!("database-{database}");
         let mut ranks: Vec<usize> =
-            names.iter().map(|name| rendezvous::rank(&subject, name, all())).collect();
-        let first = ranks.iter().position(|rank| *rank == 0).expect("one is first");
-        firsts[first] += 1;
+            names.iter().map(|name| rendezvous::rank(&subject, name, candidates())).collect();
+        let first = ranks.iter().position(|rank| *rank == 0).expect("one candidate ranks first");
+        first_counts[first] += 1;
         ranks.sort_unstable();
         assert_eq!(ranks, (0..9).collect::<Vec<_>>());
-        assert_eq!(rendezvous::first(&subject, all(), 1), [names[first].as_str()]);
+        assert_eq!(rendezvous::first(&subject, candidates(), 1), [names[first].as_str()]);
     }
-    assert!(firsts.iter().all(|count| (50..=160).contains(count)), "{firsts:?}");
+    assert!(first_counts.iter().all(|count| (50..=160).contains(count)), "{first_counts:?}");
 }
 
 #[test]
-fn a_proof_runs_out_and_a_silent_peer_blocks_agreement() {
-    let begin = Instant::now() + Duration::from_secs(10);
-    let at = |millis| begin + Duration::from_millis(millis);
+fn validation_expires_and_an_unanswered_peer_prevents_outage_agreement() {
+    let start = Instant::now() + Duration::from_secs(10);
+    let at = |millis| start + Duration::from_millis(millis);
     let mut machine = ConfirmationMachine::default();
     machine.adopt(4);
     machine.record_store(at(0), 4);
     assert!(machine.is_valid(at(0) + CONFIRMATION_LIMIT));
     assert!(!machine.is_valid(at(1) + CONFIRMATION_LIMIT));
     machine.record_store(at(100), 5);
-    assert!(!machine.is_valid(at(101) + CONFIRMATION_LIMIT), "another version proves nothing");
+    assert!(!machine.is_valid(at(101) + CONFIRMATION_LIMIT), "another version validates nothing");
     machine.record_store_failure(at(3_000));
-    let down = |version| PeerWord::Answered { version, proof_age: None, store_down: true };
-    let mut round = |words: [PeerWord; 2]| {
+    let reports_outage =
+        |version| PeerWord::Answered { version, proof_age: None, store_down: true };
+    let mut run_round = |outcomes: [PeerWord; 2]| {
         machine.start_round(at(4_000));
-        for (peer, word) in words.into_iter().enumerate() {
-            machine.record_peer(peer as u64, at(4_000), word);
+        for (peer, outcome) in outcomes.into_iter().enumerate() {
+            machine.record_peer(peer as u64, at(4_000), outcome);
         }
         machine.end_round(2, at(4_010));
         machine.is_valid(at(4_010))
     };
-    assert!(!round([down(4), PeerWord::Silent]));
-    assert!(!round([down(4), down(5)]), "a peer with a newer version forbids it");
-    assert!(!round([PeerWord::Refused, PeerWord::Refused]), "nobody is left to agree with");
-    assert!(round([down(4), PeerWord::Refused]));
+    assert!(!run_round([reports_outage(4), PeerWord::Silent]));
+    assert!(!run_round([reports_outage(4), reports_outage(5)]), "a peer has a newer version");
+    assert!(!run_round([PeerWord::Refused, PeerWord::Refused]), "no peer answered");
+    assert!(run_round([reports_outage(4), PeerWord::Refused]));
 }
 
 #[test]
-fn an_epoch_is_issued_once() {
+fn unreported_shares_are_issued_once_per_epoch() {
     let mut ledger = ShareLedger::default();
     assert!(ledger.enter_epoch(1).is_some());
     assert!(ledger.claim_issue(1));
-    assert!(ledger.enter_epoch(1).is_some(), "a repeated question is answered");
-    assert!(!ledger.claim_issue(1), "what was issued is not issued again");
-    assert!(!ledger.claim_issue(2), "nor for an epoch that was not entered");
+    assert!(ledger.enter_epoch(1).is_some(), "a repeated request gets the same report");
+    assert!(!ledger.claim_issue(1), "shares are not issued twice");
+    assert!(!ledger.claim_issue(2), "shares are not issued for an epoch that was not entered");
 }
 
 #[test]
-fn an_idle_giver_keeps_what_the_taker_does_not_need() {
-    let part = ledger::fair_part(WHOLE, 0.0, 0, 0.05);
-    assert!((50_000..=75_000).contains(&part), "{part} parts for a demand of 50000");
-    assert_eq!(ledger::fair_part(WHOLE / 2, 0.5, WHOLE / 2, 0.5), 0, "nothing moves when even");
+fn idle_donor_keeps_what_the_recipient_does_not_need() {
+    let granted = ledger::fair_part(WHOLE, 0.0, 0, 0.05);
+    assert!((50_000..=75_000).contains(&granted), "granted {granted} for a demand of 50000");
+    assert_eq!(
+        ledger::fair_part(WHOLE / 2, 0.5, WHOLE / 2, 0.5),
+        0,
+        "nothing moves between equal shares"
+    );
 }
 
-/// Feeds a machine with a primary that answers but is not heard by its replicas.
+/// A primary that answers this instance but does not replicate to a majority must not be promoted
+/// again, although it has the highest position.
 #[test]
-fn a_primary_that_its_replicas_do_not_hear_is_not_promoted_again() {
-    let status = |role, received, heard_ms| MemberStatus {
+fn primary_without_contact_to_its_replicas_is_not_promoted_again() {
+    let status = |role, received, last_contact_ms| MemberStatus {
         position: MemberPosition { role, term: 1, applied: received, term_start: 0 },
         promised: 1,
         last_term: 1,
         received,
-        last_contact_ms: heard_ms,
+        last_contact_ms,
     };
     let now = Instant::now();
     let mut machine = FailoverMachine::new(3);
-    let deaf = SILENCE_LIMIT.as_millis() as u64;
+    let silence_ms = SILENCE_LIMIT.as_millis() as u64;
     let members = [
         status(MemberRole::Primary, 9, 0),
-        status(MemberRole::Replica, 7, deaf),
-        status(MemberRole::Replica, 8, deaf),
+        status(MemberRole::Replica, 7, silence_ms),
+        status(MemberRole::Replica, 8, silence_ms),
     ];
     for (index, status) in members.into_iter().enumerate() {
         machine.handle(FailoverEvent::Status(index, status), now);
@@ -275,5 +281,9 @@
     assert_eq!(fences, [FailoverEffect::Fence(1, 2), FailoverEffect::Fence(2, 2)]);
     machine.handle(FailoverEvent::Fenced(1, 2, Some(members[1])), now);
     let promotion = machine.handle(FailoverEvent::Fenced(2, 2, Some(members[2])), now);
-    assert_eq!(promotion, [FailoverEffect::Promote(2, 2)], "the highest of those that are deaf");
+    assert_eq!(
+        promotion,
+        [FailoverEffect::Promote(2, 2)],
+        "the highest position among the replicas without contact"
+    );
 }
--- a/crates/coord/tests/failover_fuzz.rs
+++ b/crates/coord/tests/failover_fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing of failover against an oracle of what was acknowledged.
+//! Stateful fuzzing of failover: no acknowledged write is lost, and each term has one primary.
 
 mod common;
 
@@ -11,30 +11,30 @@
 
 const MEMBERS: usize = 3;
 const INSTANCES: usize = 3;
-const STEP: Duration = Duration::from_millis(25);
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Rule of the group that a mutation breaks.
+/// Fault that a test injects to prove that the invariants detect it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum BrokenRule {
-    /// Every rule holds.
+enum InjectedFault {
+    /// No fault.
     None,
-    /// A commit is acknowledged without a majority.
-    AcknowledgeAlone,
-    /// A member accepts fences of terms it has accepted before.
-    FenceTwice,
+    /// A primary acknowledges a write that no majority has received.
+    AcknowledgeWithoutMajority,
+    /// A member accepts a second fence of the same term.
+    AcceptFenceTwice,
 }
 
-/// Member of the modelled group: a log of terms and the rules of its operations.
+/// Member of the modelled group, with its log of (term, value) entries.
 #[derive(Clone, Debug)]
 struct ModelMember {
     role: MemberRole,
     term: u64,
     promised: u64,
-    follows: Option<usize>,
+    followed_primary: Option<usize>,
     log: Vec<(u64, u64)>,
     term_start: u64,
-    heard: Instant,
-    cut: bool,
+    last_contact_at: Instant,
+    partitioned: bool,
     paused: bool,
 }
 
@@ -53,44 +53,45 @@
             received: applied,
             last_contact_ms: match self.role {
                 MemberRole::Primary => 0,
-                _ => now.duration_since(self.heard).as_millis() as u64,
+                _ => now.duration_since(self.last_contact_at).as_millis() as u64,
             },
         }
     }
 }
 
-/// Message on its way to a member or back to an instance.
+/// Message in flight: a command to a member, or its answer back to an instance.
 #[derive(Clone, Debug)]
-enum Delivery {
+enum GroupMessage {
     Command(usize, FailoverEffect),
     Answer(usize, FailoverEvent),
 }
 
-struct Model {
+struct FailoverModel {
     members: Vec<ModelMember>,
     machines: Vec<FailoverMachine>,
-    frozen: Vec<u32>,
-    deliveries: VecDeque<Delivery>,
+    /// Ticks for which each instance remains stalled.
+    stalled_ticks: Vec<u32>,
+    messages_in_flight: VecDeque<GroupMessage>,
     acknowledged: BTreeMap<u64, LogPosition>,
-    primaries: BTreeMap<u64, usize>,
+    primary_by_term: BTreeMap<u64, usize>,
     next_value: u64,
     now: Instant,
-    rule: BrokenRule,
+    fault: InjectedFault,
     promotions: u32,
 }
 
-impl Model {
-    fn new(rule: BrokenRule) -> Self {
+impl FailoverModel {
+    fn new(fault: InjectedFault) -> Self {
         let now = Instant::now();
         let member = |index: usize| ModelMember {
             role: if index == 0 { MemberRole::Primary } else { MemberRole::Replica },
             term: 1,
             promised: 1,
-            follows: (index != 0).then_some(0),
+            followed_primary: (index != 0).then_some(0),
             log: vec![(1, 0)],
             term_start: 0,
-            heard: now,
-            cut: false,
+            last_contact_at: now,
+            partitioned: false,
             paused: false,
         };
         let machine = |rank: usize| {
@@ -101,40 +102,42 @@
         Self {
             members: (0..MEMBERS).map(member).collect(),
             machines: (0..INSTANCES).map(machine).collect(),
-            frozen: vec![0; INSTANCES],
-            deliveries: VecDeque::new(),
+            stalled_ticks: vec![0; INSTANCES],
+            messages_in_flight: VecDeque::new(),
             acknowledged: BTreeMap::new(),
-            primaries: BTreeMap::from([(1, 0)]),
+            primary_by_term: BTreeMap::from([(1, 0)]),
             next_value: 1,
             now,
-            rule,
+            fault,
             promotions: 0,
         }
     }
 
-    fn linked(&self, one: usize, other: usize) -> bool {
-        let up = |index: usize| !self.members[index].cut && !self.members[index].paused;
-        up(one) && up(other)
+    fn connected(&self, from: usize, to: usize) -> bool {
+        let is_reachable =
+            |index: usize| !self.members[index].partitioned && !self.members[index].paused;
+        is_reachable(from) && is_reachable(to)
     }
 
     /// Replicates the log of a primary to a replica that follows it.
     fn replicate(&mut self, from: usize, to: usize) {
         let primary = self.members[from].clone();
         let replica = &self.members[to];
-        let follows = replica.role == MemberRole::Replica
+        let is_following = replica.role == MemberRole::Replica
             && replica.promised == primary.term
-            && replica.follows == Some(from);
-        if primary.role != MemberRole::Primary || !self.linked(from, to) || !follows {
+            && replica.followed_primary == Some(from);
+        if primary.role != MemberRole::Primary || !self.connected(from, to) || !is_following {
             return;
         }
         let replica = &mut self.members[to];
-        replica.heard = self.now;
+        replica.last_contact_at = self.now;
         replica.log = primary.log;
         replica.term = primary.term;
         replica.term_start = primary.term_start;
     }
 
-    /// Writes on whatever calls itself primary, and acknowledges what a majority holds.
+    /// Writes to a member that considers itself primary, and acknowledges the write once a majority
+    /// has it.
     fn write(&mut self, index: usize) {
         let member = &self.members[index];
         if member.role != MemberRole::Primary || member.paused {
@@ -143,13 +146,13 @@
         let (term, value) = (member.term, self.next_value);
         self.next_value += 1;
         self.members[index].log.push((term, value));
-        for other in 0..MEMBERS {
-            self.replicate(index, other);
+        for replica in 0..MEMBERS {
+            self.replicate(index, replica);
         }
         let log = &self.members[index].log;
-        let holds = |member: &&ModelMember| member.log == *log && member.term == term;
-        let holders = self.members.iter().filter(holds).count();
-        if holders > MEMBERS / 2 || self.rule == BrokenRule::AcknowledgeAlone {
+        let is_replicated = |member: &&ModelMember| member.log == *log && member.term == term;
+        let copies = self.members.iter().filter(is_replicated).count();
+        if copies > MEMBERS / 2 || self.fault == InjectedFault::AcknowledgeWithoutMajority {
             self.acknowledged.insert(value, LogPosition::new(term, log.len() as u64));
         }
     }
@@ -159,13 +162,13 @@
         if self.members[member].paused {
             return None;
         }
-        let rule = self.rule;
+        let fault = self.fault;
         let state = &mut self.members[member];
         match effect {
             FailoverEffect::Fence(_, term) => {
-                let fresh = *term > state.promised
-                    || (rule == BrokenRule::FenceTwice && *term == state.promised);
-                if !fresh {
+                let accepted = *term > state.promised
+                    || (fault == InjectedFault::AcceptFenceTwice && *term == state.promised);
+                if !accepted {
                     return None;
                 }
                 state.promised = *term;
@@ -180,37 +183,37 @@
                 state.term_start = state.log.len() as u64;
                 state.log.push((*term, 0));
                 self.promotions += 1;
-                let previous = self.primaries.insert(*term, member);
-                assert!(previous.is_none_or(|other| other == member), "one primary for each term");
-                self.check_log(member);
+                let previous = self.primary_by_term.insert(*term, member);
+                assert!(previous.is_none_or(|earlier| earlier == member), "one primary per term");
+                self.check_acknowledged_writes(member);
             }
             FailoverEffect::Follow { term, primary, .. } => {
-                let newer = *term > state.promised;
-                let same = *term == state.promised && state.role != MemberRole::Primary;
-                if !newer && !same {
+                let is_newer = *term > state.promised;
+                let is_current = *term == state.promised && state.role != MemberRole::Primary;
+                if !is_newer && !is_current {
                     return None;
                 }
                 state.promised = *term;
                 state.role = MemberRole::Replica;
-                state.follows = Some(*primary);
+                state.followed_primary = Some(*primary);
             }
             _ => return None,
         }
         Some(self.members[member].status(now))
     }
 
-    /// A new primary holds every acknowledged write.
-    fn check_log(&self, member: usize) {
+    /// Checks that the log of a primary contains every acknowledged write.
+    fn check_acknowledged_writes(&self, member: usize) {
         let log = &self.members[member].log;
         for (value, position) in &self.acknowledged {
-            let held = log.get(position.index as usize - 1);
-            assert_eq!(held, Some(&(position.term, *value)), "acknowledged write {value}");
+            let entry = log.get(position.index as usize - 1);
+            assert_eq!(entry, Some(&(position.term, *value)), "acknowledged write {value}");
         }
     }
 
-    fn deliver(&mut self, delivery: Delivery) {
-        match delivery {
-            Delivery::Command(instance, effect) => {
+    fn deliver(&mut self, message: GroupMessage) {
+        match message {
+            GroupMessage::Command(instance, effect) => {
                 let (member, answer) = match &effect {
                     FailoverEffect::Fence(member, term) => {
                         let status = self.run_command(*member, &effect);
@@ -228,29 +231,29 @@
                 };
                 let _ = member;
                 if let Some(event) = answer {
-                    self.deliveries.push_back(Delivery::Answer(instance, event));
+                    self.messages_in_flight.push_back(GroupMessage::Answer(instance, event));
                 }
             }
-            Delivery::Answer(instance, event) => self.feed(instance, event),
+            GroupMessage::Answer(instance, event) => self.handle_event(instance, event),
         }
     }
 
-    fn feed(&mut self, instance: usize, event: FailoverEvent) {
+    fn handle_event(&mut self, instance: usize, event: FailoverEvent) {
         let effects = self.machines[instance].handle(event, self.now);
-        let commands = effects.into_iter().map(|effect| Delivery::Command(instance, effect));
-        self.deliveries.extend(commands);
+        let commands = effects.into_iter().map(|effect| GroupMessage::Command(instance, effect));
+        self.messages_in_flight.extend(commands);
     }
 
     fn tick(&mut self) {
-        self.now += STEP;
+        self.now += TICK_INTERVAL;
         for from in 0..MEMBERS {
             for to in 0..MEMBERS {
                 self.replicate(from, to);
             }
         }
         for instance in 0..INSTANCES {
-            if self.frozen[instance] > 0 {
-                self.frozen[instance] -= 1;
+            if self.stalled_ticks[instance] > 0 {
+                self.stalled_ticks[instance] -= 1;
                 continue;
             }
             for member in 0..MEMBERS {
@@ -259,9 +262,9 @@
                 } else {
                     FailoverEvent::Status(member, self.members[member].status(self.now))
                 };
-                self.feed(instance, event);
+                self.handle_event(instance, event);
             }
-            self.feed(instance, FailoverEvent::Tick);
+            self.handle_event(instance, FailoverEvent::Tick);
         }
     }
 
@@ -269,7 +272,7 @@
         match choices.below(20) {
             0 => {
                 let member = choices.below(MEMBERS);
-                self.members[member].cut ^= true;
+                self.members[member].partitioned ^= true;
             }
             1 => {
                 let member = choices.below(MEMBERS);
@@ -277,88 +280,96 @@
             }
             2 => {
                 let instance = choices.below(INSTANCES);
-                self.frozen[instance] = choices.below(60) as u32;
+                self.stalled_ticks[instance] = choices.below(60) as u32;
             }
             3..=6 => {
                 let member = choices.below(MEMBERS);
                 self.write(member);
             }
-            7..=12 => self.deliver_some(choices),
+            7..=12 => self.deliver_messages(choices),
             _ => self.tick(),
         }
-        assert!(self.deliveries.len() < 100_000, "commands pile up");
+        assert!(self.messages_in_flight.len() < 100_000, "messages accumulate");
     }
 
-    /// Delivers, loses, repeats or reorders a message.
-    fn deliver_some(&mut self, choices: &mut Choices) {
+    /// Delivers, loses, duplicates or reorders messages.
+    fn deliver_messages(&mut self, choices: &mut Choices) {
         for _ in 0..choices.below(12) {
-            if self.deliveries.is_empty() {
+            if self.messages_in_flight.is_empty() {
                 return;
             }
-            let index =
-                if choices.below(4) == 0 { choices.below(self.deliveries.len()) } else { 0 };
-            let Some(delivery) = self.deliveries.remove(index) else {
+            let index = if choices.below(4) == 0 {
+                choices.below(self.messages_in_flight.len())
+            } else {
+                0
+            };
+            let Some(message) = self.messages_in_flight.remove(index) else {
                 return;
             };
             match choices.below(12) {
                 0 => {}
                 1 => {
-                    self.deliveries.push_back(delivery.clone());
-                    self.deliver(delivery);
+                    self.messages_in_flight.push_back(message.clone());
+                    self.deliver(message);
                 }
-                _ => self.deliver(delivery),
+                _ => self.deliver(message),
             }
         }
     }
 
-    /// Mends everything; the group must serve again within a bounded time.
+    /// Repairs every fault; the group must accept writes again within 10 s.
     fn recover(&mut self) {
         for member in &mut self.members {
-            member.cut = false;
+            member.partitioned = false;
             member.paused = false;
         }
-        self.frozen.fill(0);
+        self.stalled_ticks.fill(0);
         for _ in 0..400 {
             self.tick();
-            while let Some(delivery) = self.deliveries.pop_front() {
-                self.deliver(delivery);
+            while let Some(message) = self.messages_in_flight.pop_front() {
+                self.deliver(message);
             }
         }
-        let before = self.acknowledged.len();
+        let acknowledged_before = self.acknowledged.len();
         for member in 0..MEMBERS {
             self.write(member);
         }
-        assert!(self.acknowledged.len() > before, "the group serves again after 10 s");
+        assert!(
+            self.acknowledged.len() > acknowledged_before,
+            "the group accepts writes after 10 s"
+        );
     }
 }
 
-fn run(choices: &mut Choices, rule: BrokenRule) {
-    let mut model = Model::new(rule);
+fn run(choices: &mut Choices, fault: InjectedFault) {
+    let mut model = FailoverModel::new(fault);
     while !choices.is_done() {
         model.step(choices);
     }
     model.recover();
     for member in 0..MEMBERS {
         if model.members[member].role == MemberRole::Primary {
-            let highest = model.members.iter().map(|other| other.promised).max();
-            if highest == Some(model.members[member].term) {
-                model.check_log(member);
+            let highest_term = model.members.iter().map(|other| other.promised).max();
+            if highest_term == Some(model.members[member].term) {
+                model.check_acknowledged_writes(member);
             }
         }
     }
 }
 
 #[test]
-fn keeps_acknowledged_writes_and_one_primary_for_each_term() {
-    check_cases(400, 1_500, |choices| run(choices, BrokenRule::None));
+fn keeps_acknowledged_writes_and_one_primary_per_term() {
+    check_cases(400, 1_500, |choices| run(choices, InjectedFault::None));
 }
 
 #[test]
-fn finds_acknowledgement_without_a_majority() {
-    common::expect_failure(2_000, 1_500, |choices| run(choices, BrokenRule::AcknowledgeAlone));
+fn detects_acknowledgement_without_a_majority() {
+    common::expect_failure(2_000, 1_500, |choices| {
+        run(choices, InjectedFault::AcknowledgeWithoutMajority)
+    });
 }
 
 #[test]
-fn finds_a_fence_accepted_twice() {
-    common::expect_failure(2_000, 1_500, |choices| run(choices, BrokenRule::FenceTwice));
+fn detects_a_fence_accepted_twice() {
+    common::expect_failure(2_000, 1_500, |choices| run(choices, InjectedFault::AcceptFenceTwice));
 }
--- a/crates/coord/tests/ledger_fuzz.rs
+++ b/crates/coord/tests/ledger_fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing of the allotment ledger against sums kept by an oracle.
+//! Stateful fuzzing of the share ledger: shares and admissions never exceed a team's limits.
 
 mod common;
 
@@ -15,137 +15,141 @@
 const RATE: f64 = 100.0;
 const BURST: f64 = 50.0;
 
-/// Rule that a mutation breaks.
+/// Fault that a test injects to prove that the invariants detect it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum BrokenRule {
-    /// Every rule holds.
+enum InjectedFault {
+    /// No fault.
     None,
-    /// The issuer does not wait until the old epoch has run out.
-    IssueAtOnce,
-    /// A taker adds what a message says, not what it adds to the last one.
-    TakeTwice,
-    /// The giver keeps its share.
-    GiveWithoutShrinking,
-    /// A holder goes on with a reported share before it was counted.
-    TrustReport,
-    /// A restarted instance takes what was given to the one before it.
-    IgnoreAddressee,
+    /// The issuer does not wait until the old epoch has expired.
+    IssueImmediately,
+    /// A recipient adds the totals of each message instead of their increase.
+    AddFullTotals,
+    /// The donor keeps the share that it granted.
+    KeepGrantedShare,
+    /// An instance uses a reported share before the issuer counted the report.
+    TrustUncountedReport,
+    /// A restarted instance accepts totals that were granted to its previous incarnation.
+    IgnoreRecipient,
 }
 
-/// Totals on their way to a taker.
+/// Cumulative totals in flight from a donor to a recipient.
 #[derive(Clone, Copy, Debug)]
-struct Message {
-    from: u64,
-    to: usize,
-    /// Incarnation that the totals are for; a later one at the same place ignores them.
-    taker: u64,
+struct GrantMessage {
+    donor_incarnation: u64,
+    recipient_index: usize,
+    /// Incarnation that the totals are for; a later one on the same instance ignores them.
+    recipient_incarnation: u64,
     epoch: u64,
     totals: MovedTotals,
 }
 
 struct ModelInstance {
-    id: u64,
+    incarnation: u64,
     ledger: ShareLedger,
-    proof: ConfirmationMachine,
+    validation: ConfirmationMachine,
     bucket: TokenBucket,
-    cut: bool,
+    partitioned: bool,
 }
 
-/// Epoch that is being started.
-struct Census {
-    number: u64,
+/// Reconciliation that starts a new epoch.
+struct LedgerReconciliation {
+    epoch: u64,
     issuer: usize,
     started_at: Instant,
     reports: Vec<Option<u64>>,
 }
 
-struct Model {
+struct LedgerModel {
     team: TeamId,
     instances: Vec<ModelInstance>,
-    messages: Vec<Message>,
+    messages_in_flight: Vec<GrantMessage>,
     stored_epoch: u64,
     store_down: bool,
-    census: Option<Census>,
-    admitted: Vec<Instant>,
-    next_id: u64,
+    reconciliation: Option<LedgerReconciliation>,
+    admitted_at: Vec<Instant>,
+    next_incarnation: u64,
     now: Instant,
-    rule: BrokenRule,
+    fault: InjectedFault,
 }
 
-impl Model {
-    fn new(rule: BrokenRule) -> Self {
-        let mut keys: SlotMap<TeamId, ()> = SlotMap::with_key();
-        let team = keys.insert(());
+impl LedgerModel {
+    fn new(fault: InjectedFault) -> Self {
+        let mut teams: SlotMap<TeamId, ()> = SlotMap::with_key();
+        let team = teams.insert(());
         let now = Instant::now() + Duration::from_secs(60);
         let mut model = Self {
             team,
             instances: Vec::new(),
-            messages: Vec::new(),
+            messages_in_flight: Vec::new(),
             stored_epoch: 1,
             store_down: false,
-            census: None,
-            admitted: Vec::new(),
-            next_id: 1,
+            reconciliation: None,
+            admitted_at: Vec::new(),
+            next_incarnation: 1,
             now,
-            rule,
+            fault,
         };
         for _ in 0..INSTANCES {
-            let instance = model.fresh_instance();
+            let instance = model.start_instance();
             model.instances.push(instance);
         }
-        let first = &mut model.instances[0];
-        assert!(first.ledger.claim_issue(1));
-        first.ledger.issue(team, WHOLE);
-        model.resize(0);
+        let issuer = &mut model.instances[0];
+        assert!(issuer.ledger.claim_issue(1));
+        issuer.ledger.issue(team, WHOLE);
+        model.resize_bucket(0);
         model
     }
 
-    fn fresh_instance(&mut self) -> ModelInstance {
-        let id = self.next_id;
-        self.next_id += 1;
+    fn start_instance(&mut self) -> ModelInstance {
+        let incarnation = self.next_incarnation;
+        self.next_incarnation += 1;
         let mut ledger = ShareLedger::default();
         ledger.forfeit_epoch(self.stored_epoch);
-        let mut proof = ConfirmationMachine::default();
-        proof.adopt(self.stored_epoch);
+        let mut validation = ConfirmationMachine::default();
+        validation.adopt(self.stored_epoch);
         let bucket = TokenBucket::empty(0.0, 0.0, self.now);
-        ModelInstance { id, ledger, proof, bucket, cut: false }
+        ModelInstance { incarnation, ledger, validation, bucket, partitioned: false }
     }
 
-    fn resize(&mut self, index: usize) {
+    fn resize_bucket(&mut self, index: usize) {
         let instance = &mut self.instances[index];
-        let part = instance.ledger.share(self.team) as f64 / WHOLE as f64;
-        instance.bucket.resize(RATE * part, BURST * part, self.now);
+        let fraction = instance.ledger.share(self.team) as f64 / WHOLE as f64;
+        instance.bucket.resize(RATE * fraction, BURST * fraction, self.now);
     }
 
     fn step(&mut self, choices: &mut Choices) {
         let action = choices.below(16);
         match action {
-            0..=3 => self.pass_time(choices.below(400) as u64),
+            0..=3 => self.advance_time(choices.below(400) as u64),
             4..=7 => self.admit(choices),
-            8..=9 => self.ask(choices),
+            8..=9 => self.request_grant(choices),
             10 => self.deliver(choices),
-            11 => self.start_census(choices),
-            12 => self.answer_census(choices),
+            11 => self.start_reconciliation(choices),
+            12 => self.answer_reconciliation(choices),
             13 => {
                 let index = choices.below(INSTANCES);
-                self.instances[index].cut ^= true;
+                self.instances[index].partitioned ^= true;
             }
             14 => self.store_down ^= choices.below(3) == 0,
             _ => {
-                // Replaced at any time: the share goes with the instance.
+                // An instance may be replaced at any time; its share is lost.
                 let index = choices.below(INSTANCES);
-                let fresh = self.fresh_instance();
-                if self.census.as_ref().is_some_and(|census| census.issuer == index) {
-                    self.census = None;
+                let replacement = self.start_instance();
+                if self
+                    .reconciliation
+                    .as_ref()
+                    .is_some_and(|reconciliation| reconciliation.issuer == index)
+                {
+                    self.reconciliation = None;
                 }
-                // The report of the old incarnation stays counted; its share is lost with it.
-                self.instances[index] = fresh;
+                // The report of the old incarnation stays counted, although its share is lost.
+                self.instances[index] = replacement;
             }
         }
         if std::env::var_os("HIBISCUS_TRACE").is_some() {
             self.trace(action);
         }
-        self.check();
+        self.check_invariants();
     }
 
     fn trace(&self, action: usize) {
@@ -155,74 +159,76 @@
             .map(|instance| {
                 format!(
                     "{}:e{}{} s{} v{}{}{}",
-                    instance.id,
+                    instance.incarnation,
                     instance.ledger.epoch(),
                     if instance.ledger.is_provisional() { "?" } else { "" },
                     instance.ledger.share(self.team),
-                    instance.proof.version(),
-                    if instance.proof.is_valid(self.now) { "+" } else { "-" },
-                    if instance.cut { " cut" } else { "" }
+                    instance.validation.version(),
+                    if instance.validation.is_valid(self.now) { "+" } else { "-" },
+                    if instance.partitioned { " partitioned" } else { "" }
                 )
             })
             .collect();
         println!("{action}: store e{} down {} {states:?}", self.stored_epoch, self.store_down);
     }
 
-    fn pass_time(&mut self, millis: u64) {
+    fn advance_time(&mut self, millis: u64) {
         self.now += Duration::from_millis(millis);
-        let down = self.store_down;
+        let store_down = self.store_down;
         let (stored, now) = (self.stored_epoch, self.now);
         for instance in &mut self.instances {
-            if instance.cut {
+            if instance.partitioned {
                 continue;
             }
-            if down {
-                instance.proof.record_store_failure(now);
+            if store_down {
+                instance.validation.record_store_failure(now);
             } else {
-                instance.proof.record_store(now, stored);
+                instance.validation.record_store(now, stored);
             }
         }
-        self.heartbeat();
-        self.forfeit_outdated();
-        self.finish_census();
+        self.run_heartbeat_round();
+        self.forfeit_outdated_epochs();
+        self.finish_reconciliation();
     }
 
-    fn heartbeat(&mut self) {
+    fn run_heartbeat_round(&mut self) {
         let now = self.now;
-        let words: Vec<_> = self
+        let outcomes: Vec<_> = self
             .instances
             .iter()
             .map(|instance| {
-                let word = coord::confirmation::PeerWord::Answered {
-                    version: instance.proof.version(),
-                    proof_age: instance.proof.proof_age(now),
-                    store_down: instance.proof.is_store_down(now),
+                let outcome = coord::confirmation::PeerWord::Answered {
+                    version: instance.validation.version(),
+                    proof_age: instance.validation.proof_age(now),
+                    store_down: instance.validation.is_store_down(now),
                 };
-                if instance.cut { coord::confirmation::PeerWord::Silent } else { word }
+                if instance.partitioned { coord::confirmation::PeerWord::Silent } else { outcome }
             })
             .collect();
         for index in 0..INSTANCES {
-            let cut = self.instances[index].cut;
-            let proof = &mut self.instances[index].proof;
-            proof.start_round(now);
-            for (peer, word) in words.iter().enumerate().filter(|(peer, _)| *peer != index) {
-                let word = if cut { coord::confirmation::PeerWord::Silent } else { *word };
-                proof.record_peer(peer as u64, now, word);
+            let partitioned = self.instances[index].partitioned;
+            let validation = &mut self.instances[index].validation;
+            validation.start_round(now);
+            for (peer, outcome) in outcomes.iter().enumerate().filter(|(peer, _)| *peer != index) {
+                let outcome =
+                    if partitioned { coord::confirmation::PeerWord::Silent } else { *outcome };
+                validation.record_peer(peer as u64, now, outcome);
             }
-            proof.end_round(INSTANCES - 1, now);
+            validation.end_round(INSTANCES - 1, now);
         }
     }
 
-    fn forfeit_outdated(&mut self) {
+    fn forfeit_outdated_epochs(&mut self) {
         for index in 0..INSTANCES {
             let (stored, now) = (self.stored_epoch, self.now);
             let instance = &mut self.instances[index];
-            let uncounted = instance.ledger.is_provisional();
-            let behind = (instance.ledger.epoch() < stored || uncounted) && !instance.cut;
-            if behind && !instance.proof.is_valid(now) {
+            let is_provisional = instance.ledger.is_provisional();
+            let is_outdated =
+                (instance.ledger.epoch() < stored || is_provisional) && !instance.partitioned;
+            if is_outdated && !instance.validation.is_valid(now) {
                 instance.ledger.forfeit_epoch(stored);
-                instance.proof.adopt(stored);
-                self.resize(index);
+                instance.validation.adopt(stored);
+                self.resize_bucket(index);
             }
         }
     }
@@ -233,87 +239,98 @@
         for _ in 0..choices.below(30) {
             let instance = &mut self.instances[index];
             instance.ledger.set_demand(self.team, 0.5);
-            if instance.proof.is_valid(now) && instance.bucket.take(1.0, now).is_ok() {
-                self.admitted.push(now);
+            if instance.validation.is_valid(now) && instance.bucket.take(1.0, now).is_ok() {
+                self.admitted_at.push(now);
             }
         }
     }
 
-    fn ask(&mut self, choices: &mut Choices) {
-        let (taker, giver) = (choices.below(INSTANCES), choices.below(INSTANCES));
-        let linked = !self.instances[taker].cut && !self.instances[giver].cut;
-        if taker == giver || !linked {
+    fn request_grant(&mut self, choices: &mut Choices) {
+        let (recipient, donor) = (choices.below(INSTANCES), choices.below(INSTANCES));
+        let connected =
+            !self.instances[recipient].partitioned && !self.instances[donor].partitioned;
+        if recipient == donor || !connected {
             return;
         }
-        let taker_share = self.instances[taker].ledger.share(self.team);
-        let taker_id = self.instances[taker].id;
-        let epoch = self.instances[taker].ledger.epoch();
-        let (team, now, rule) = (self.team, self.now, self.rule);
-        let instance = &mut self.instances[giver];
-        if instance.ledger.epoch() != epoch || !instance.proof.is_valid(now) {
+        let recipient_share = self.instances[recipient].ledger.share(self.team);
+        let recipient_incarnation = self.instances[recipient].incarnation;
+        let epoch = self.instances[recipient].ledger.epoch();
+        let (team, now, fault) = (self.team, self.now, self.fault);
+        let instance = &mut self.instances[donor];
+        if instance.ledger.epoch() != epoch || !instance.validation.is_valid(now) {
             return;
         }
-        let own = instance.ledger.share(team);
-        let part = instance.ledger.plan_gift(team, taker_share, 0.4);
-        let part = part.min(own);
-        let wanted = instance.bucket.available(now) * part as f64 / own.max(1) as f64;
-        let tokens = instance.bucket.take_up_to(wanted, now);
-        let totals = instance.ledger.give(team, taker_id, part, tokens);
-        if rule == BrokenRule::GiveWithoutShrinking {
-            instance.ledger.issue(team, part);
+        let donor_share = instance.ledger.share(team);
+        let granted = instance.ledger.plan_gift(team, recipient_share, 0.4);
+        let granted = granted.min(donor_share);
+        let moved_tokens =
+            instance.bucket.available(now) * granted as f64 / donor_share.max(1) as f64;
+        let tokens = instance.bucket.take_up_to(moved_tokens, now);
+        let totals = instance.ledger.give(team, recipient_incarnation, granted, tokens);
+        if fault == InjectedFault::KeepGrantedShare {
+            instance.ledger.issue(team, granted);
         }
-        let from = instance.id;
-        self.resize(giver);
-        self.messages.push(Message { from, to: taker, taker: taker_id, epoch, totals });
+        let donor_incarnation = instance.incarnation;
+        self.resize_bucket(donor);
+        self.messages_in_flight.push(GrantMessage {
+            donor_incarnation,
+            recipient_index: recipient,
+            recipient_incarnation,
+            epoch,
+            totals,
+        });
     }
 
-    /// Delivers, loses or repeats a message, in any order.
+    /// Delivers, loses or duplicates a message, in any order.
     fn deliver(&mut self, choices: &mut Choices) {
-        if self.messages.is_empty() {
+        if self.messages_in_flight.is_empty() {
             return;
         }
-        let index = choices.below(self.messages.len());
+        let index = choices.below(self.messages_in_flight.len());
         let message = match choices.below(3) {
-            0 => self.messages[index],
-            _ => self.messages.swap_remove(index),
+            0 => self.messages_in_flight[index],
+            _ => self.messages_in_flight.swap_remove(index),
         };
-        if choices.below(5) == 0 || self.instances[message.to].cut {
+        if choices.below(5) == 0 || self.instances[message.recipient_index].partitioned {
             return;
         }
-        let addressed = self.instances[message.to].id == message.taker;
-        if !addressed && self.rule != BrokenRule::IgnoreAddressee {
+        let is_recipient =
+            self.instances[message.recipient_index].incarnation == message.recipient_incarnation;
+        if !is_recipient && self.fault != InjectedFault::IgnoreRecipient {
             return;
         }
-        let (team, now, rule) = (self.team, self.now, self.rule);
-        let instance = &mut self.instances[message.to];
-        let grant = instance.ledger.take(team, message.from, message.epoch, message.totals);
-        if rule == BrokenRule::TakeTwice && message.epoch == instance.ledger.epoch() {
+        let (team, now, fault) = (self.team, self.now, self.fault);
+        let instance = &mut self.instances[message.recipient_index];
+        let grant =
+            instance.ledger.take(team, message.donor_incarnation, message.epoch, message.totals);
+        if fault == InjectedFault::AddFullTotals && message.epoch == instance.ledger.epoch() {
             instance.ledger.issue(team, message.totals.share);
         }
-        self.resize(message.to);
+        self.resize_bucket(message.recipient_index);
         if let Some(grant) = grant {
-            self.instances[message.to].bucket.add_tokens(grant.tokens, now);
+            self.instances[message.recipient_index].bucket.add_tokens(grant.tokens, now);
         }
     }
 
-    fn start_census(&mut self, choices: &mut Choices) {
+    fn start_reconciliation(&mut self, choices: &mut Choices) {
         let issuer = choices.below(INSTANCES);
         let now = self.now;
-        let able = !self.instances[issuer].cut
-            && self.instances[issuer].proof.is_valid(now)
+        let can_start = !self.instances[issuer].partitioned
+            && self.instances[issuer].validation.is_valid(now)
             && self.instances[issuer].ledger.epoch() == self.stored_epoch;
-        if self.store_down || !able || choices.below(3) > 0 {
+        if self.store_down || !can_start || choices.below(3) > 0 {
             return;
         }
         self.stored_epoch += 1;
-        let number = self.stored_epoch;
+        let epoch = self.stored_epoch;
         let mut reports = vec![None; INSTANCES];
-        reports[issuer] = self.report(issuer, number);
-        self.confirm(issuer, number);
-        self.instances[issuer].proof.record_store(now, number);
-        self.census = Some(Census { number, issuer, started_at: now, reports });
-        if self.rule == BrokenRule::IssueAtOnce {
-            self.issue_missing();
+        reports[issuer] = self.report(issuer, epoch);
+        self.mark_counted(issuer, epoch);
+        self.instances[issuer].validation.record_store(now, epoch);
+        self.reconciliation =
+            Some(LedgerReconciliation { epoch, issuer, started_at: now, reports });
+        if self.fault == InjectedFault::IssueImmediately {
+            self.issue_unreported();
         }
     }
 
@@ -321,112 +338,119 @@
         let team = self.team;
         let instance = &mut self.instances[index];
         let report = instance.ledger.enter_epoch(epoch)?;
-        Some(report.iter().find(|(key, _)| *key == team).map_or(0, |(_, share)| *share))
+        Some(report.iter().find(|(reported, _)| *reported == team).map_or(0, |(_, share)| *share))
     }
 
-    fn answer_census(&mut self, choices: &mut Choices) {
+    fn answer_reconciliation(&mut self, choices: &mut Choices) {
         let index = choices.below(INSTANCES);
-        let Some(number) = self.census.as_ref().map(|census| census.number) else {
+        let Some(epoch) = self.reconciliation.as_ref().map(|reconciliation| reconciliation.epoch)
+        else {
             return;
         };
-        if self.instances[index].cut {
+        if self.instances[index].partitioned {
             return;
         }
-        // A question says whether the report before it arrived.
-        let counted = self.census.as_ref().and_then(|census| census.reports[index]).is_some();
-        let report = self.report(index, number);
-        if counted || self.rule == BrokenRule::TrustReport {
-            self.confirm(index, number);
+        // A request tells the instance whether the issuer counted its previous report.
+        let is_counted = self
+            .reconciliation
+            .as_ref()
+            .and_then(|reconciliation| reconciliation.reports[index])
+            .is_some();
+        let report = self.report(index, epoch);
+        if is_counted || self.fault == InjectedFault::TrustUncountedReport {
+            self.mark_counted(index, epoch);
         }
-        // The question may arrive and its answer be lost.
-        if let Some(census) = self.census.as_mut().filter(|_| choices.below(4) > 0) {
-            census.reports[index] = census.reports[index].or(report);
+        // The request may arrive although its reply is lost.
+        if let Some(reconciliation) = self.reconciliation.as_mut().filter(|_| choices.below(4) > 0)
+        {
+            reconciliation.reports[index] = reconciliation.reports[index].or(report);
         }
     }
 
-    fn confirm(&mut self, index: usize, epoch: u64) {
+    fn mark_counted(&mut self, index: usize, epoch: u64) {
         let instance = &mut self.instances[index];
         if instance.ledger.confirm_epoch(epoch) {
-            instance.proof.adopt(epoch);
+            instance.validation.adopt(epoch);
         }
     }
 
-    fn finish_census(&mut self) {
-        let over = self.census.as_ref().is_some_and(|census| {
-            let limit = CONFIRMATION_LIMIT + Duration::from_millis(250);
-            self.now.duration_since(census.started_at) > limit
+    fn finish_reconciliation(&mut self) {
+        let is_over = self.reconciliation.as_ref().is_some_and(|reconciliation| {
+            let wait = CONFIRMATION_LIMIT + Duration::from_millis(250);
+            self.now.duration_since(reconciliation.started_at) > wait
         });
-        if over {
-            self.issue_missing();
+        if is_over {
+            self.issue_unreported();
         }
     }
 
-    fn issue_missing(&mut self) {
-        let Some(census) = self.census.take() else {
+    fn issue_unreported(&mut self) {
+        let Some(reconciliation) = self.reconciliation.take() else {
             return;
         };
-        let known: u64 = census.reports.iter().flatten().sum();
-        let issuer = &mut self.instances[census.issuer];
-        if issuer.ledger.claim_issue(census.number) {
-            issuer.ledger.issue(self.team, WHOLE.saturating_sub(known));
-            self.resize(census.issuer);
+        let reported: u64 = reconciliation.reports.iter().flatten().sum();
+        let issuer = &mut self.instances[reconciliation.issuer];
+        if issuer.ledger.claim_issue(reconciliation.epoch) {
+            issuer.ledger.issue(self.team, WHOLE.saturating_sub(reported));
+            self.resize_bucket(reconciliation.issuer);
         }
     }
 
-    /// Shares in use never exceed the whole, and admissions stay within rate and burst.
-    fn check(&self) {
-        let usable = |instance: &&ModelInstance| instance.proof.is_valid(self.now);
+    /// Checks that the usable shares do not exceed the full share, and that admissions stay within
+    /// rate and burst.
+    fn check_invariants(&self) {
+        let is_usable = |instance: &&ModelInstance| instance.validation.is_valid(self.now);
         let sum: u64 = self
             .instances
             .iter()
-            .filter(usable)
+            .filter(is_usable)
             .map(|instance| instance.ledger.share(self.team))
             .sum();
-        assert!(sum <= WHOLE, "shares in use add up to {sum}");
-        let Some(last) = self.admitted.last() else {
+        assert!(sum <= WHOLE, "usable shares add up to {sum}");
+        let Some(last) = self.admitted_at.last() else {
             return;
         };
-        for (index, first) in self.admitted.iter().enumerate() {
+        for (index, first) in self.admitted_at.iter().enumerate() {
             let window = last.duration_since(*first).as_secs_f64();
-            let count = (self.admitted.len() - index) as f64;
+            let count = (self.admitted_at.len() - index) as f64;
             assert!(count <= RATE * window + BURST + 1e-6, "{count} admitted in {window} s");
         }
     }
 }
 
-fn run(choices: &mut Choices, rule: BrokenRule) {
-    let mut model = Model::new(rule);
+fn run(choices: &mut Choices, fault: InjectedFault) {
+    let mut model = LedgerModel::new(fault);
     while !choices.is_done() {
         model.step(choices);
     }
 }
 
 #[test]
-fn never_exceeds_the_whole_nor_rate_and_burst() {
-    check_cases(1_500, 600, |choices| run(choices, BrokenRule::None));
+fn never_exceeds_the_full_share_or_rate_and_burst() {
+    check_cases(1_500, 600, |choices| run(choices, InjectedFault::None));
 }
 
 #[test]
-fn finds_issue_before_the_old_epoch_ran_out() {
-    expect_failure(5_000, 600, |choices| run(choices, BrokenRule::IssueAtOnce));
+fn detects_issuance_before_the_old_epoch_expired() {
+    expect_failure(5_000, 600, |choices| run(choices, InjectedFault::IssueImmediately));
 }
 
 #[test]
-fn finds_totals_taken_twice() {
-    expect_failure(2_000, 600, |choices| run(choices, BrokenRule::TakeTwice));
+fn detects_totals_received_twice() {
+    expect_failure(2_000, 600, |choices| run(choices, InjectedFault::AddFullTotals));
 }
 
 #[test]
-fn finds_a_giver_that_does_not_shrink() {
-    expect_failure(2_000, 600, |choices| run(choices, BrokenRule::GiveWithoutShrinking));
+fn detects_a_donor_that_keeps_its_share() {
+    expect_failure(2_000, 600, |choices| run(choices, InjectedFault::KeepGrantedShare));
 }
 
 #[test]
-fn finds_trust_in_a_report_that_was_not_counted() {
-    expect_failure(5_000, 600, |choices| run(choices, BrokenRule::TrustReport));
+fn detects_use_of_an_uncounted_report() {
+    expect_failure(5_000, 600, |choices| run(choices, InjectedFault::TrustUncountedReport));
 }
 
 #[test]
-fn finds_totals_taken_by_a_later_incarnation() {
-    expect_failure(5_000, 600, |choices| run(choices, BrokenRule::IgnoreAddressee));
+fn detects_totals_received_by_a_later_incarnation() {
+    expect_failure(5_000, 600, |choices| run(choices, InjectedFault::IgnoreRecipient));
 }
--- /dev/null
+++ b/crates/coord/tests/load_patterns.rs
@@ -0,0 +1,338 @@
+//! Replays the load patterns that the priority queue, team quotas and endpoint placement handle.
+
+mod common;
+
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::time::{Duration, Instant};
+
+use common::{Choices, check_cases};
+use coord::placement::{
+    EndpointView, HolderCandidate, ReadCandidate, connection_limit, order_for_read, order_holders,
+};
+use coord::queue::QueueRefusal;
+use coord::quota::{LIMIT_PATIENCE, LimitWindow, TeamCounters, TeamLimit};
+use coord::urgency::UrgencyQueue;
+use state::position::LogPosition;
+
+/// Defines a test with the start time of its load.
+macro_rules! load_case {
+    ($name:ident, $start:ident => $body:block) => {
+        #[test]
+        fn $name() {
+            let $start = Instant::now();
+            $body
+        }
+    };
+}
+
+const WINDOW_LENGTH: Duration = Duration::from_secs(5);
+const WINDOW: LimitWindow =
+    LimitWindow { span: WINDOW_LENGTH, tolerated_part: 0.1, tolerated_operations: 20.0 };
+
+fn millis(count: u64) -> Duration {
+    Duration::from_millis(count)
+}
+
+/// Simulates a queue with one permit, which each request holds for 10 ms, under `arrivals`
+/// (priority, team) 1 ms apart. Returns their indices in start order, without refused ones.
+fn simulate_queue(arrivals: &[(u8, u32)], max_wait: Duration, start: Instant) -> Vec<usize> {
+    let mut queue = UrgencyQueue::new(1);
+    let mut started = Vec::new();
+    let mut running: Option<(u8, u32, Instant)> = None;
+    let mut expired = Vec::new();
+    let end = arrivals.len() as u64 + 10 * arrivals.len() as u64 + 50;
+    for tick in 0..end {
+        let now = start + millis(tick);
+        if let Some((level, team, since)) =
+            running.take_if(|(_, _, since)| now - *since >= millis(10))
+        {
+            queue.release(level, team, now - since);
+            if let Some(index) = queue.pop(now, &mut expired) {
+                let (level, team) = arrivals[index];
+                started.push(index);
+                running = Some((level, team, now));
+            }
+        }
+        if let Some((level, team)) = arrivals.get(tick as usize) {
+            if queue.try_take(*level) {
+                started.push(tick as usize);
+                running = Some((*level, *team, now));
+            } else if queue.push(*level, *team, tick as usize, now + max_wait, now).is_err() {
+                expired.push(tick as usize);
+            }
+        }
+    }
+    started
+}
+
+load_case!(high_priority_requests_overtake_queued_ones, start => {
+    let mut arrivals = vec![(2, 1); 20];
+    arrivals.push((1, 2));
+    let started = simulate_queue(&arrivals, millis(10_000), start);
+    let order = started.iter().position(|index| *index == 20).expect("it starts");
+    assert!(order <= 3, "the high-priority request started at position {order} of {started:?}");
+});
+
+// Guards against refusing a request because another team's slow statements fill the queue: teams
+// take turns, so the request is next to start.
+load_case!(flooding_team_does_not_cause_refusals_of_another, start => {
+    let mut queue = UrgencyQueue::new(4);
+    for _ in 0..200 {
+        queue.try_take(1);
+        queue.release(1, 1, millis(100));
+    }
+    assert_eq!((0..4).filter(|_| queue.try_take(1)).count(), 4);
+    let latest_start = start + millis(300);
+    let queued = (0..40).filter(|index| queue.push(1, 1, *index, latest_start, start).is_ok()).count();
+    assert!((8..=12).contains(&queued), "{queued} queued, 8 to 12 can start in time");
+    assert!(queue.push(1, 2, 40, latest_start, start).is_ok(), "the other team is next");
+    let mut expired = Vec::new();
+    let mut order = Vec::new();
+    for _ in 0..3 {
+        queue.release(1, 1, millis(100));
+        order.extend(queue.pop(start, &mut expired));
+    }
+    assert!(order.contains(&40), "{order:?}");
+});
+
+load_case!(flooding_team_does_not_delay_another_of_the_same_priority, start => {
+    let mut arrivals = vec![(1, 1); 30];
+    arrivals.push((1, 2));
+    let started = simulate_queue(&arrivals, millis(10_000), start);
+    let order = started.iter().position(|index| *index == 30).expect("it starts");
+    assert!(order <= 5, "the other team started at position {order}");
+});
+
+load_case!(requests_that_would_start_too_late_are_refused_on_arrival, start => {
+    let arrivals = vec![(1, 1); 60];
+    let started = simulate_queue(&arrivals, millis(100), start);
+    // 60 requests of 10 ms arrive within 60 ms; about ten can start within 100 ms of arrival.
+    assert!((8..=18).contains(&started.len()), "{} started", started.len());
+});
+
+load_case!(refusal_reports_the_expected_wait, start => {
+    let mut queue = UrgencyQueue::new(1);
+    assert!(queue.try_take(1));
+    for index in 0..5 {
+        queue.push(1, 1, index, start + millis(10_000), start).expect("it can start in time");
+    }
+    let refused = queue.push(1, 1, 9, start + millis(1), start);
+    match refused {
+        Err(QueueRefusal::Late { expected }) => assert!(expected >= millis(50), "{expected:?}"),
+        other => panic!("{other:?}"),
+    }
+});
+
+/// Checks that admissions of a team never exceed its limit in any window, for any mix of priorities
+/// and arrival times.
+#[test]
+fn no_window_admits_more_than_the_limit() {
+    check_cases(300, 400, |choices: &mut Choices| {
+        let start = Instant::now();
+        let limit = TeamLimit {
+            rate: 5.0 + choices.below(60) as f64,
+            burst: 1.0 + choices.below(60) as f64,
+        };
+        let mut quotas = TeamCounters::new(WINDOW);
+        let mut starts: Vec<Duration> = Vec::new();
+        let mut now = Duration::ZERO;
+        quotas.observe(1, 1, start);
+        while !choices.is_done() {
+            now += millis(choices.below(60) as u64);
+            quotas.observe(1, 1, start + now);
+            for _ in 0..choices.below(12) {
+                let higher_priorities = choices.below(3);
+                if let Ok(delay) =
+                    quotas.take("team", limit, higher_priorities, LIMIT_PATIENCE, true, start + now)
+                {
+                    starts.push(now + delay);
+                }
+            }
+        }
+        starts.sort();
+        for (index, first) in starts.iter().enumerate() {
+            let admitted =
+                starts[index..].iter().take_while(|at| **at < *first + WINDOW_LENGTH).count();
+            let allowed = limit.rate * WINDOW_LENGTH.as_secs_f64() + limit.burst + 1.0;
+            assert!(admitted as f64 <= allowed, "{admitted} of {allowed} after {first:?}");
+        }
+    });
+}
+
+load_case!(sides_of_a_partition_together_stay_within_the_limit, start => {
+    let limit = TeamLimit { rate: 40.0, burst: 40.0 };
+    let mut admitted = 0;
+    for (reachable, registered) in [(6, 9), (1, 9), (1, 9), (1, 9)] {
+        let mut quotas = TeamCounters::new(WINDOW);
+        for tick in 0..500 {
+            let now = start + millis(10 * tick);
+            quotas.observe(reachable, registered, now);
+            for _ in 0..5 {
+                admitted += usize::from(quotas.take("team", limit, 0, Duration::ZERO, false, now).is_ok());
+            }
+        }
+    }
+    let allowed = (limit.rate * 5.0 + limit.burst) * 1.1 + 20.0;
+    assert!(admitted as f64 <= allowed, "{admitted} of {allowed}");
+});
+
+// Guards against admitting a full burst at every change of a team's quota owner: all instances
+// restart, and the team's quota owner changes and changes back within one window.
+load_case!(new_quota_owners_stay_within_the_overage, start => {
+    let limit = TeamLimit { rate: 40.0, burst: 40.0 };
+    let mut admitted = 0;
+    for (from, to, full_start) in [(0, 2_000, true), (2_000, 3_500, false), (3_500, 5_000, false)] {
+        let mut quotas = TeamCounters::new(WINDOW);
+        for tick in from / 10..to / 10 {
+            let now = start + millis(10 * tick);
+            quotas.observe(1, 1, now);
+            for _ in 0..5 {
+                admitted += usize::from(quotas.take("team", limit, 0, Duration::ZERO, full_start, now).is_ok());
+            }
+        }
+    }
+    let allowed = (limit.rate * 5.0 + limit.burst) * 1.1 + 20.0;
+    assert!(admitted as f64 <= allowed, "{admitted} of {allowed}");
+    assert!(admitted >= 200, "only {admitted} within the limit were admitted");
+});
+
+load_case!(suspended_quota_owner_starts_with_new_buckets, start => {
+    let limit = TeamLimit { rate: 1.0, burst: 500.0 };
+    let mut quotas = TeamCounters::new(WINDOW);
+    quotas.observe(1, 1, start);
+    let mut count_admitted = |now, full_start| {
+        quotas.observe(1, 1, now);
+        (0..1_000).filter(|_| quotas.take("team", limit, 0, Duration::ZERO, full_start, now).is_ok()).count()
+    };
+    assert!(count_admitted(start, true) >= 200, "the first bucket starts full");
+    let admitted = count_admitted(start + millis(4_000), false);
+    assert!(admitted as f64 <= (limit.rate * 5.0 + limit.burst) * 0.1 + 20.0, "{admitted}");
+});
+
+load_case!(team_over_its_limit_reserves_tokens_for_high_priority, start => {
+    let limit = TeamLimit { rate: 20.0, burst: 20.0 };
+    let mut quotas = TeamCounters::new(WINDOW);
+    let (mut high, mut low) = (0, 0);
+    for tick in 0..1_000_u64 {
+        let now = start + millis(10 * tick);
+        quotas.observe(1, 1, now);
+        // 50 low-priority and 5 high-priority operations per second for 20 tokens per second.
+        if tick % 2 == 0 {
+            low += usize::from(quotas.take("team", limit, 1, Duration::ZERO, true, now).is_ok());
+        }
+        if tick % 20 == 0 {
+            high += usize::from(quotas.take("team", limit, 0, Duration::ZERO, true, now).is_ok());
+        }
+    }
+    assert_eq!(high, 50, "every high-priority operation is admitted");
+    assert!(low >= 140, "only {low} low-priority operations were admitted");
+});
+
+// Guards against spending tokens on operations that can no longer meet their target latency: a team
+// sends 1.5 times its limit for ten seconds, and its callers retry refused operations twice.
+load_case!(team_over_its_limit_is_admitted_only_in_time, start => {
+    let limit = TeamLimit { rate: 100.0, burst: 100.0 };
+    let min_backoff = millis(50);
+    // The shortest target latency in use minus the work of a statement.
+    let max_start_delay = millis(200 - 30);
+    let mut quotas = TeamCounters::new(WINDOW);
+    let mut arrivals: BinaryHeap<Reverse<(Duration, Duration, u32)>> =
+        (0..1_500).map(|index| Reverse((millis(index * 20 / 3), millis(index * 20 / 3), 0))).collect();
+    let (mut in_time, mut late) = (0, 0);
+    while let Some(Reverse((at, first_at, retries))) = arrivals.pop() {
+        quotas.observe(1, 1, start + at);
+        match quotas.take("team", limit, 0, LIMIT_PATIENCE, true, start + at) {
+            Ok(delay) if at + delay - first_at > max_start_delay => late += 1,
+            Ok(_) => in_time += 1,
+            Err(error) if retries < 2 => {
+                arrivals.push(Reverse((at + error.retry_after.max(min_backoff), first_at, retries + 1)));
+            }
+            Err(_) => {}
+        }
+    }
+    assert_eq!(late, 0, "{in_time} were admitted in time");
+    assert!(in_time >= 1_000, "only {in_time} within the limit were admitted");
+});
+
+fn candidate(
+    same_zone: bool,
+    leads: bool,
+    queue_ms: u64,
+    index: u64,
+    now: Instant,
+) -> ReadCandidate {
+    let view = EndpointView {
+        position: Some((LogPosition::new(1, index), now)),
+        queue: Some((millis(queue_ms), now)),
+        ..EndpointView::default()
+    };
+    ReadCandidate { view, near: same_zone, leads }
+}
+
+load_case!(reads_avoid_a_saturated_replica_in_the_same_zone, start => {
+    let needed = Some(LogPosition::new(1, 10));
+    let saturated_same_zone = candidate(true, false, 80, 10, start);
+    let idle_other_zone = candidate(false, false, 0, 10, start);
+    let leader = candidate(false, true, 0, 10, start);
+    assert_eq!(order_for_read(&[saturated_same_zone, idle_other_zone, leader], needed, start), [1, 2, 0]);
+});
+
+load_case!(reads_avoid_a_lagging_replica, start => {
+    let needed = Some(LogPosition::new(1, 10));
+    let lagging = candidate(true, false, 0, 4, start);
+    let caught_up = candidate(false, false, 0, 10, start);
+    assert_eq!(order_for_read(&[lagging, caught_up], needed, start)[0], 1);
+});
+
+load_case!(reads_without_a_watermark_need_the_leader, start => {
+    let replica = candidate(true, false, 0, 10, start);
+    let leader = candidate(false, true, 50, 10, start);
+    assert_eq!(order_for_read(&[replica, leader], None, start), [1]);
+});
+
+load_case!(recently_failed_endpoint_comes_last, start => {
+    let mut failed = candidate(true, false, 0, 10, start);
+    failed.view.failed_at = Some(start);
+    let other = candidate(false, false, 30, 10, start);
+    let needed = Some(LogPosition::new(1, 1));
+    assert_eq!(order_for_read(&[failed, other], needed, start), [1, 0]);
+    let later = start + millis(1_000);
+    assert_eq!(order_for_read(&[failed, other], needed, later)[0], 0);
+});
+
+/// Checks that the loss of a connection owner moves only its own endpoints, and that instances in
+/// the endpoint's zone come first.
+#[test]
+fn lost_connection_owner_moves_only_its_own_endpoints() {
+    let names: Vec<String> = (0..9).map(|index| format!("instance-{index}")).collect();
+    let same_zone = |name: &str| name.ends_with(['0', '1', '2']);
+    let order = |endpoint: &str, without: &str| {
+        let candidates: Vec<HolderCandidate<'_>> = names
+            .iter()
+            .filter(|name| *name != without)
+            .map(|name| HolderCandidate { name, near: same_zone(name) })
+            .collect();
+        order_holders(endpoint, &candidates).into_iter().map(str::to_owned).collect::<Vec<_>>()
+    };
+    for index in 0..40 {
+        let endpoint = format!("endpoint-{index}");
+        let before = order(&endpoint, "");
+        assert!(same_zone(&before[0]));
+        for lost in &names {
+            let after = order(&endpoint, lost);
+            let expected = if before[0] == *lost { &before[1] } else { &before[0] };
+            assert_eq!(after[0], *expected);
+        }
+    }
+}
+
+load_case!(sides_of_a_partition_share_the_connections, _start => {
+    for (connections, sides) in [(23, vec![6, 1, 1, 1]), (34, vec![8, 1]), (62, vec![40, 30, 19])] {
+        let registered: usize = sides.iter().sum();
+        let limit = |side: &usize| connection_limit(connections, *side as f64 / registered as f64);
+        let total: usize = sides.iter().map(limit).sum();
+        assert!(total <= connections, "{total} of {connections} by {sides:?}");
+    }
+    assert!(connection_limit(23, 1.0) >= 18, "a single owner has nearly all");
+});
