--- a/crates/admin/src/fleet.rs
+++ b/crates/admin/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coord::confirmation::CONFIRMATION_LIMIT;
+use coord::validation::VALIDATION_TTL;
 use net::peer;
 use serde::{Deserialize, Serialize};
 use tokio::task::JoinSet;
@@ -15,7 +15,7 @@
 /// Interval between two rounds of questions while a revision spreads.
 const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 /// Time after which an instance that does not answer has stopped to act on older documents.
-const FORCE_LIMIT: Duration = CONFIRMATION_LIMIT.saturating_add(Duration::from_millis(250));
+const FORCE_LIMIT: Duration = VALIDATION_TTL.saturating_add(Duration::from_millis(250));
 
 /// Member of a database as an instance sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/crates/coord/src/failover.rs
+++ b/crates/coord/src/failover.rs
@@ -8,7 +8,7 @@
 use state::position::{LogPosition, MemberRole, MemberStatus};
 
 /// Time without a sign of the primary after which it is suspected.
-pub const SILENCE_LIMIT: Duration = Duration::from_millis(700);
+pub const PRIMARY_TIMEOUT: Duration = Duration::from_millis(700);
 /// Age above which a status says nothing about the present.
 const STATUS_LIMIT: Duration = Duration::from_millis(250);
 /// Time by which an instance holds back for each instance that ranks before it.
@@ -29,20 +29,20 @@
     /// A member answered with its status.
     Status(MemberIndex, MemberStatus),
     /// A member did not answer on a fresh connection.
-    Lost(MemberIndex),
+    Unreachable(MemberIndex),
     /// Other availability zones were asked whether they reach the primary.
-    Witnessed {
+    ProbedIndirectly {
         /// Member that they were asked about.
         member: MemberIndex,
         /// Availability zones that do not reach it.
-        against: usize,
+        unreachable_zones: usize,
         /// Availability zones that reach it.
-        in_favour: usize,
+        reachable_zones: usize,
     },
     /// A member answered a fence; none if it refused or did not answer.
-    Fenced(MemberIndex, u64, Option<MemberStatus>),
+    FenceAnswered(MemberIndex, u64, Option<MemberStatus>),
     /// A member answered a promotion.
-    Promoted(MemberIndex, u64, Option<MemberStatus>),
+    PromotionAnswered(MemberIndex, u64, Option<MemberStatus>),
     /// Time passed.
     Tick,
 }
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FailoverEffect {
     /// Ask the other availability zones whether they reach a member.
-    AskWitnesses(MemberIndex),
+    ProbeIndirectly(MemberIndex),
     /// Send a fence.
     Fence(MemberIndex, u64),
     /// Send a promotion.
@@ -66,7 +66,7 @@
         primary: MemberIndex,
     },
     /// Record a finished promotion in the table service.
-    Record {
+    RecordPromotion {
         /// Term of the primary.
         term: u64,
         /// Member that is the primary.
@@ -112,8 +112,8 @@
 #[derive(Clone, Copy, Debug)]
 struct WitnessAnswer {
     member: MemberIndex,
-    against: usize,
-    in_favour: usize,
+    unreachable_zones: usize,
+    reachable_zones: usize,
     at: Instant,
 }
 
@@ -170,17 +170,18 @@
     pub fn handle(&mut self, event: FailoverEvent, now: Instant) -> Vec<FailoverEffect> {
         match event {
             FailoverEvent::Status(index, status) => self.note_status(index, status, now),
-            FailoverEvent::Lost(index) => {
+            FailoverEvent::Unreachable(index) => {
                 let member = &mut self.members[index];
                 member.lost_since = member.lost_since.or(Some(now));
             }
-            FailoverEvent::Witnessed { member, against, in_favour } => {
-                self.witness = Some(WitnessAnswer { member, against, in_favour, at: now });
+            FailoverEvent::ProbedIndirectly { member, unreachable_zones, reachable_zones } => {
+                self.witness =
+                    Some(WitnessAnswer { member, unreachable_zones, reachable_zones, at: now });
             }
-            FailoverEvent::Fenced(index, term, answer) => {
+            FailoverEvent::FenceAnswered(index, term, answer) => {
                 return self.note_fence(index, term, answer, now);
             }
-            FailoverEvent::Promoted(index, term, answer) => {
+            FailoverEvent::PromotionAnswered(index, term, answer) => {
                 return self.note_promotion(index, term, answer, now);
             }
             FailoverEvent::Tick => return self.tick(now),
@@ -223,7 +224,7 @@
             return None;
         }
         self.asked_at = Some(now);
-        Some(FailoverEffect::AskWitnesses(lost))
+        Some(FailoverEffect::ProbeIndirectly(lost))
     }
 
     /// Returns the last known primary if it has been lost to this instance for long.
@@ -234,7 +235,7 @@
             is_primary.then_some((index, status.position.term))
         });
         let (index, _) = known.max_by_key(|(_, term)| *term)?;
-        self.members[index].is_lost_for(SILENCE_LIMIT, now).then_some(index)
+        self.members[index].is_lost_for(PRIMARY_TIMEOUT, now).then_some(index)
     }
 
     fn should_promote(&mut self, now: Instant) -> bool {
@@ -264,7 +265,7 @@
         let deaf = |member: &MemberKnowledge| {
             member.fresh_status(now).is_some_and(|status| {
                 status.position.role != MemberRole::Primary
-                    && Duration::from_millis(status.heard_ms) >= SILENCE_LIMIT
+                    && Duration::from_millis(status.heard_ms) >= PRIMARY_TIMEOUT
             })
         };
         (0..self.members.len()).filter(|index| deaf(&self.members[*index])).collect()
@@ -278,8 +279,8 @@
         };
         self.witness.is_some_and(|witness| {
             witness.member == lost
-                && witness.against >= 1
-                && witness.in_favour == 0
+                && witness.unreachable_zones >= 1
+                && witness.reachable_zones == 0
                 && now.saturating_duration_since(witness.at) <= 2 * STATUS_LIMIT
         })
     }
@@ -363,7 +364,7 @@
         self.suspected_since = None;
         self.stray_since = None;
         // The replicas have not heard the new primary yet; their silence must not count.
-        self.quiet_until = Some(now + SILENCE_LIMIT);
+        self.quiet_until = Some(now + PRIMARY_TIMEOUT);
         self.note_status(index, status, now);
         let others = (0..self.members.len()).filter(|other| *other != index);
         let follows: Vec<FailoverEffect> =
@@ -371,7 +372,9 @@
         for member in &mut self.members {
             member.followed_at = Some(now);
         }
-        std::iter::once(FailoverEffect::Record { term, primary: index }).chain(follows).collect()
+        std::iter::once(FailoverEffect::RecordPromotion { term, primary: index })
+            .chain(follows)
+            .collect()
     }
 
     /// Gives up a promotion; the next try comes later for those that rank behind.
--- a/crates/coord/src/freshness.rs
+++ b/crates/coord/src/freshness.rs
@@ -52,12 +52,12 @@
     }
 
     /// Returns the local time up to which a member is known to be complete.
-    pub fn complete_at(&self, member: usize) -> Option<Instant> {
+    pub fn fresh_as_of(&self, member: usize) -> Option<Instant> {
         self.complete.get(member).copied().flatten()
     }
 
     /// Returns the greatest age that the data of a member can have.
-    pub fn age(&self, member: usize, now: Instant) -> Option<Duration> {
-        self.complete_at(member).map(|complete| now.saturating_duration_since(complete))
+    pub fn staleness_bound(&self, member: usize, now: Instant) -> Option<Duration> {
+        self.fresh_as_of(member).map(|complete| now.saturating_duration_since(complete))
     }
 }
--- a/crates/coord/src/ledger.rs
+++ b/crates/coord/src/ledger.rs
@@ -14,11 +14,11 @@
 use state::catalog::TeamKey;
 
 /// The whole of a team's rate and burst, in parts.
-pub const WHOLE: u64 = 1_000_000;
+pub const FULL_SHARE: u64 = 1_000_000;
 /// Demand below which an instance still keeps a share, as a part of the whole.
 const FLOOR_DEMAND: f64 = 0.005;
 /// Smallest part that is worth moving.
-const SMALLEST_MOVE: u64 = WHOLE / 1_000;
+const SMALLEST_MOVE: u64 = FULL_SHARE / 1_000;
 /// Part of its headroom that a giver keeps.
 const KEPT_HEADROOM: f64 = 1.05;
 
@@ -30,7 +30,7 @@
 
 /// Cumulative totals moved from one instance to another in one epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct MovedTotals {
+pub struct TransferTotals {
     /// Parts moved so far.
     pub share: u64,
     /// Tokens moved so far.
@@ -39,7 +39,7 @@
 
 /// Increase that an instance takes from a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TakenGrant {
+pub struct ReceivedGrant {
     /// Parts by which the share grew.
     pub share: u64,
     /// Tokens that came with them.
@@ -51,8 +51,8 @@
 struct ShareAccount {
     /// Parts issued to this instance in the current epoch.
     issued: u64,
-    given: HashMap<Incarnation, MovedTotals>,
-    taken: HashMap<Incarnation, MovedTotals>,
+    given: HashMap<Incarnation, TransferTotals>,
+    taken: HashMap<Incarnation, TransferTotals>,
     acknowledged: HashMap<Incarnation, u64>,
     /// Statements a second that callers ask for, as a part of the team's rate.
     demand: f64,
@@ -124,7 +124,7 @@
     }
 
     /// Records that the issuer counted the report of this epoch.
-    pub fn confirm_epoch(&mut self, epoch: u64) -> bool {
+    pub fn mark_epoch_counted(&mut self, epoch: u64) -> bool {
         let own = epoch == self.epoch;
         if own {
             self.provisional = false;
@@ -156,7 +156,7 @@
     }
 
     /// Claims the right to issue what nobody reported in the current epoch, at most once.
-    pub fn claim_issue(&mut self, epoch: u64) -> bool {
+    pub fn claim_issuance(&mut self, epoch: u64) -> bool {
         if epoch != self.epoch || epoch <= self.issued_epoch {
             return false;
         }
@@ -171,23 +171,23 @@
 
     /// Returns the parts that a taker gets when it asks: afterwards giver and taker have about the
     /// same ratio of share to demand.
-    pub fn plan_gift(&self, team: TeamKey, taker_share: u64, taker_demand: f64) -> u64 {
+    pub fn plan_grant(&self, team: TeamKey, taker_share: u64, taker_demand: f64) -> u64 {
         let Some(account) = self.accounts.get(team).filter(|_| !self.provisional) else {
             return 0;
         };
-        fair_part(account.share(), account.demand, taker_share, taker_demand)
+        fair_grant(account.share(), account.demand, taker_share, taker_demand)
     }
 
     /// Moves parts and the tokens taken from the bucket for them, and returns the totals to send.
     ///
     /// The bucket must have shrunk before the totals are sent.
-    pub fn give(
+    pub fn grant(
         &mut self,
         team: TeamKey,
         taker: Incarnation,
         part: u64,
         tokens: f64,
-    ) -> MovedTotals {
+    ) -> TransferTotals {
         let part = if self.provisional { 0 } else { part };
         let account = self.account(team);
         let part = part.min(account.share());
@@ -200,13 +200,13 @@
     }
 
     /// Takes what a giver's totals add to those taken before, in the same epoch only.
-    pub fn take(
+    pub fn receive_grant(
         &mut self,
         team: TeamKey,
         giver: Incarnation,
         epoch: u64,
-        totals: MovedTotals,
-    ) -> Option<TakenGrant> {
+        totals: TransferTotals,
+    ) -> Option<ReceivedGrant> {
         if epoch != self.epoch {
             return None;
         }
@@ -217,11 +217,17 @@
         let share = totals.share - taken.share;
         let tokens = (totals.tokens - taken.tokens).max(0.0);
         *taken = totals;
-        Some(TakenGrant { share, tokens })
+        Some(ReceivedGrant { share, tokens })
     }
 
     /// Records that a taker has taken parts up to `share`, in the same epoch only.
-    pub fn acknowledge(&mut self, team: TeamKey, taker: Incarnation, epoch: u64, share: u64) {
+    pub fn record_acknowledgement(
+        &mut self,
+        team: TeamKey,
+        taker: Incarnation,
+        epoch: u64,
+        share: u64,
+    ) {
         if epoch == self.epoch {
             let acknowledged = self.account(team).acknowledged.entry(taker).or_default();
             *acknowledged = share.max(*acknowledged);
@@ -229,7 +235,7 @@
     }
 
     /// Returns the totals that a taker has not acknowledged yet.
-    pub fn unacknowledged(&self, taker: Incarnation) -> Vec<(TeamKey, MovedTotals)> {
+    pub fn unacknowledged(&self, taker: Incarnation) -> Vec<(TeamKey, TransferTotals)> {
         let pending = |(team, account): (TeamKey, &ShareAccount)| {
             let totals = account.given.get(&taker).copied()?;
             let known = account.acknowledged.get(&taker).copied().unwrap_or_default();
@@ -239,7 +245,7 @@
     }
 
     /// Returns the parts taken from a giver, by which it learns what arrived.
-    pub fn taken_from(&self, team: TeamKey, giver: Incarnation) -> u64 {
+    pub fn received_from(&self, team: TeamKey, giver: Incarnation) -> u64 {
         let account = self.accounts.get(team);
         account.and_then(|account| account.taken.get(&giver)).map_or(0, |totals| totals.share)
     }
@@ -271,13 +277,13 @@
 ///
 /// Without the second bound an idle giver would part with nearly all at the first question, and
 /// those who ask next would find nothing.
-pub fn fair_part(giver_share: u64, giver_demand: f64, taker_share: u64, taker_demand: f64) -> u64 {
+pub fn fair_grant(giver_share: u64, giver_demand: f64, taker_share: u64, taker_demand: f64) -> u64 {
     let giver_demand = giver_demand.max(FLOOR_DEMAND);
     let taker_demand = taker_demand.max(FLOOR_DEMAND);
     let (giver, taker) = (giver_share as f64, taker_share as f64);
     let even = (giver * taker_demand - taker * giver_demand * KEPT_HEADROOM)
         / (giver_demand * KEPT_HEADROOM + taker_demand);
-    let needed = taker_demand * NEEDED_HEADROOM * WHOLE as f64 - taker;
+    let needed = taker_demand * NEEDED_HEADROOM * FULL_SHARE as f64 - taker;
     let part = even.min(needed).max(0.0) as u64;
     if part < SMALLEST_MOVE { 0 } else { part.min(giver_share) }
 }
--- a/crates/coord/src/placement.rs
+++ b/crates/coord/src/placement.rs
@@ -28,26 +28,26 @@
     /// Position that the endpoint's reads reached last, with the time of the answer.
     pub position: Option<(LogPosition, Instant)>,
     /// Queueing time that the holder of its connections stated last.
-    pub queue: Option<(Duration, Instant)>,
+    pub queue_delay: Option<(Duration, Instant)>,
     /// Time of the last failure to reach it.
     pub failed_at: Option<Instant>,
     /// Time at which it last refused to lead.
-    pub followed_at: Option<Instant>,
+    pub not_leader_at: Option<Instant>,
 }
 
 impl EndpointView {
     /// Tells whether the endpoint failed a moment ago.
-    pub fn is_avoided(&self, now: Instant) -> bool {
+    pub fn failed_recently(&self, now: Instant) -> bool {
         within(self.failed_at, AVOID_TIME, now)
     }
 
     /// Tells whether the endpoint said a moment ago that it does not lead.
     pub fn is_follower(&self, now: Instant) -> bool {
-        within(self.followed_at, FOLLOWER_TIME, now)
+        within(self.not_leader_at, FOLLOWER_TIME, now)
     }
 
     fn queue_wait(&self, now: Instant) -> Duration {
-        let Some((wait, at)) = self.queue else {
+        let Some((wait, at)) = self.queue_delay else {
             return Duration::ZERO;
         };
         wait.saturating_sub(now.saturating_duration_since(at).mul_f64(0.5)).min(
@@ -77,7 +77,7 @@
     /// What is known of it.
     pub view: EndpointView,
     /// Tells whether it lies in the caller's availability zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// Tells whether it leads its service.
     pub leads: bool,
 }
@@ -91,7 +91,7 @@
     now: Instant,
 ) -> Vec<usize> {
     let cost = |candidate: &ReadCandidate| {
-        let zone = if candidate.near { Duration::ZERO } else { ZONE_COST };
+        let zone = if candidate.same_zone { Duration::ZERO } else { ZONE_COST };
         // Writes run only on the leader; reads leave its slots to them.
         let lead = if candidate.leads { 2 * ZONE_COST } else { Duration::ZERO };
         let lag = if candidate.leads {
@@ -99,7 +99,7 @@
         } else {
             candidate.view.position_wait(needed, now)
         };
-        (candidate.view.is_avoided(now), candidate.view.queue_wait(now) + zone + lead + lag)
+        (candidate.view.failed_recently(now), candidate.view.queue_wait(now) + zone + lead + lag)
     };
     let serves = |index: &usize| candidates[*index].leads || needed.is_some();
     let mut order: Vec<usize> = (0..candidates.len()).filter(serves).collect();
@@ -109,18 +109,18 @@
 
 /// Instance that may hold an endpoint's connections.
 #[derive(Clone, Copy, Debug)]
-pub struct HolderCandidate<'a> {
+pub struct OwnerCandidate<'a> {
     /// Name of the instance.
     pub name: &'a str,
     /// Tells whether it lies in the endpoint's availability zone.
-    pub near: bool,
+    pub same_zone: bool,
 }
 
 /// Returns the instances that may hold an endpoint's connections, the first choice first.
-pub fn order_holders<'a>(endpoint: &str, candidates: &[HolderCandidate<'a>]) -> Vec<&'a str> {
-    let mut order: Vec<&HolderCandidate<'a>> = candidates.iter().collect();
+pub fn order_owners<'a>(endpoint: &str, candidates: &[OwnerCandidate<'a>]) -> Vec<&'a str> {
+    let mut order: Vec<&OwnerCandidate<'a>> = candidates.iter().collect();
     order.sort_by_key(|candidate| {
-        (!candidate.near, std::cmp::Reverse(rendezvous::weight(endpoint, candidate.name)))
+        (!candidate.same_zone, std::cmp::Reverse(rendezvous::weight(endpoint, candidate.name)))
     });
     order.into_iter().map(|candidate| candidate.name).collect()
 }
@@ -145,13 +145,13 @@
 /// notices, for seconds, and whoever takes over works with what was left free. A team that needed
 /// several connections for a moment soon keeps one only.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RestingConnection {
+pub enum IdleConnectionKind {
     /// The only one of its team, or the one that it used last.
-    Last,
+    LastUsed,
     /// Its team has used another one since.
-    Spare,
+    Surplus,
     /// Another instance now holds the connections of the endpoint.
-    Foreign,
+    Moved,
 }
 
 /// Rest of a team's last connection: opening one takes a slot for as long as two statements do.
@@ -162,13 +162,13 @@
 /// again in a moment.
 const FOREIGN_REST: Duration = Duration::from_millis(1_500);
 
-impl RestingConnection {
+impl IdleConnectionKind {
     /// Returns the time without work after which the connection is closed.
-    pub fn longest_rest(self) -> Duration {
+    pub fn idle_timeout(self) -> Duration {
         match self {
-            Self::Last => LAST_REST,
-            Self::Spare => SPARE_REST,
-            Self::Foreign => FOREIGN_REST,
+            Self::LastUsed => LAST_REST,
+            Self::Surplus => SPARE_REST,
+            Self::Moved => FOREIGN_REST,
         }
     }
 }
--- a/crates/coord/src/urgency.rs
+++ b/crates/coord/src/priority.rs
@@ -11,7 +11,7 @@
 use crate::queue::{FairQueue, QueueRefusal};
 
 /// Urgency of a request; zero is served first.
-pub type UrgencyLevel = u8;
+pub type PriorityLevel = u8;
 
 /// Weight of the newest sample in the smoothed holding time.
 const HOLD_SMOOTHING: f64 = 0.1;
@@ -20,14 +20,14 @@
 
 /// Bounded permits of an endpoint and the requests that wait for them.
 #[derive(Clone, Debug)]
-pub struct UrgencyQueue<T, R> {
+pub struct PriorityQueue<T, R> {
     capacity: usize,
     in_use: usize,
     hold: f64,
-    levels: BTreeMap<UrgencyLevel, FairQueue<T, R>>,
+    levels: BTreeMap<PriorityLevel, FairQueue<T, R>>,
 }
 
-impl<T: Copy + Eq + Hash, R> UrgencyQueue<T, R> {
+impl<T: Copy + Eq + Hash, R> PriorityQueue<T, R> {
     /// Creates a queue for `capacity` permits.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, in_use: 0, hold: FIRST_HOLD, levels: BTreeMap::new() }
@@ -44,21 +44,21 @@
     }
 
     /// Returns the requests that wait at `level` or before it.
-    pub fn waiting_before(&self, level: UrgencyLevel) -> usize {
+    pub fn waiting_up_to(&self, level: PriorityLevel) -> usize {
         self.levels.range(..=level).map(|(_, queue)| queue.waiting()).sum()
     }
 
     /// Returns the time after which a request of `level` that comes now is expected to start, whatever
     /// its team.
-    pub fn expected_wait(&self, level: UrgencyLevel) -> Duration {
-        self.wait_behind(self.waiting_before(level))
+    pub fn expected_wait(&self, level: PriorityLevel) -> Duration {
+        self.wait_behind(self.waiting_up_to(level))
     }
 
     /// Returns the time after which a request of `team` is expected to start: a team that floods the
     /// queue takes one turn for each of the others.
-    pub fn expected_turn(&self, level: UrgencyLevel, team: T) -> Duration {
+    pub fn expected_team_wait(&self, level: PriorityLevel, team: T) -> Duration {
         let urgent: usize = self.levels.range(..level).map(|(_, queue)| queue.waiting()).sum();
-        let turns = self.levels.get(&level).map_or(0, |queue| queue.turns_before(team));
+        let turns = self.levels.get(&level).map_or(0, |queue| queue.requests_ahead(team));
         self.wait_behind(urgent + turns)
     }
 
@@ -71,8 +71,8 @@
     }
 
     /// Takes a permit at once if one is free and nobody of the same urgency waits.
-    pub fn try_take(&mut self, level: UrgencyLevel) -> bool {
-        let free = self.in_use < self.capacity && self.waiting_before(level) == 0;
+    pub fn try_acquire(&mut self, level: PriorityLevel) -> bool {
+        let free = self.in_use < self.capacity && self.waiting_up_to(level) == 0;
         if free {
             self.in_use += 1;
         }
@@ -80,29 +80,29 @@
     }
 
     /// Takes a permit beyond the capacity, for a transaction that holds a connection already.
-    pub fn take_pinned(&mut self) {
+    pub fn acquire_pinned(&mut self) {
         self.in_use += 1;
     }
 
     /// Lets a request wait until `latest_start`, or refuses it because it would start later.
     pub fn push(
         &mut self,
-        level: UrgencyLevel,
+        level: PriorityLevel,
         team: T,
         request: R,
         latest_start: Instant,
         now: Instant,
     ) -> Result<(), QueueRefusal> {
-        let expected = self.expected_turn(level, team);
+        let expected = self.expected_team_wait(level, team);
         if now + expected > latest_start {
-            return Err(QueueRefusal::Late { expected });
+            return Err(QueueRefusal::DeadlineExceeded { expected_wait: expected });
         }
         let queue = self.levels.entry(level).or_insert_with(|| FairQueue::new(usize::MAX));
         queue.push(team, request, latest_start, now)
     }
 
     /// Returns a permit after it was held for `held`.
-    pub fn release(&mut self, level: UrgencyLevel, team: T, held: Duration) {
+    pub fn release(&mut self, level: PriorityLevel, team: T, held: Duration) {
         self.in_use = self.in_use.saturating_sub(1);
         self.hold += (held.as_secs_f64() - self.hold) * HOLD_SMOOTHING;
         if let Some(queue) = self.levels.get_mut(&level) {
--- a/crates/coord/src/takeover.rs
+++ b/crates/coord/src/promotion.rs
@@ -9,7 +9,7 @@
 use state::position::LogPosition;
 
 /// Time for which the holder of a leader's connections must fail before a takeover is weighed.
-pub const FAILING_TIME: Duration = Duration::from_millis(300);
+pub const LEADER_GRACE_PERIOD: Duration = Duration::from_millis(300);
 /// Time after which a call for promotion that brought no new leader is made again.
 const PROMOTION_TIME: Duration = Duration::from_millis(1_500);
 /// Time after which probes tell nothing any more.
@@ -30,18 +30,18 @@
 
 /// What is known of a member when a takeover is weighed.
 #[derive(Clone, Debug)]
-pub struct MemberOutlook<'a> {
+pub struct MemberObservation<'a> {
     /// Name of the member.
     pub name: &'a str,
     /// Registered and not leaving.
-    pub stays: bool,
+    pub is_active: bool,
     /// Answer to the last probe.
     pub report: Option<MemberReport>,
 }
 
 /// Why a leader is replaced.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TakeoverCause {
+pub enum PromotionCause {
     /// No member leads.
     Missing,
     /// The leader leaves.
@@ -52,33 +52,33 @@
 
 /// What to do about a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TakeoverStep {
+pub enum PromotionDecision {
     /// Nothing.
-    Rest,
+    Wait,
     /// Probe all members on fresh connections, here and at other instances.
     Probe,
     /// Promote the member of this index.
-    Promote(usize, TakeoverCause),
+    Promote(usize, PromotionCause),
 }
 
 /// Takeover of one service as weighed by the instance on duty.
 #[derive(Clone, Debug, Default)]
-pub struct TakeoverMachine {
+pub struct PromotionMachine {
     failed_rounds: u32,
     probed_at: Option<Instant>,
     called_at: Option<Instant>,
 }
 
-impl TakeoverMachine {
+impl PromotionMachine {
     /// Tells whether members must be probed before a takeover can be weighed.
-    pub fn wants_probe(&self, suspected: bool, now: Instant) -> bool {
+    pub fn needs_probe(&self, suspected: bool, now: Instant) -> bool {
         let waiting =
             self.called_at.is_some_and(|at| now.saturating_duration_since(at) < PROMOTION_TIME);
         suspected && !waiting
     }
 
     /// Records a round of probes: whether anybody reached the leader.
-    pub fn note_round(&mut self, leader_answered: bool, now: Instant) {
+    pub fn record_probe_round(&mut self, leader_answered: bool, now: Instant) {
         let stale =
             self.probed_at.is_none_or(|at| now.saturating_duration_since(at) > PROBE_MEMORY);
         self.failed_rounds = match leader_answered {
@@ -90,7 +90,7 @@
     }
 
     /// Records that a promotion was called for.
-    pub fn note_call(&mut self, now: Instant) {
+    pub fn record_promotion(&mut self, now: Instant) {
         self.called_at = Some(now);
         self.failed_rounds = 0;
     }
@@ -99,35 +99,35 @@
     ///
     /// `synchronous` is the number of replicas that confirm a commit before it is acknowledged;
     /// an acknowledged commit must be in the member that is promoted.
-    pub fn weigh(
+    pub fn decide(
         &self,
         leader: Option<usize>,
-        members: &[MemberOutlook<'_>],
+        members: &[MemberObservation<'_>],
         synchronous: usize,
-    ) -> TakeoverStep {
+    ) -> PromotionDecision {
         let cause = match leader {
-            None => TakeoverCause::Missing,
-            Some(leader) if !members[leader].stays && members[leader].report.is_some() => {
-                TakeoverCause::Leaving
+            None => PromotionCause::Missing,
+            Some(leader) if !members[leader].is_active && members[leader].report.is_some() => {
+                PromotionCause::Leaving
             }
-            Some(_) if self.failed_rounds >= FAILED_ROUNDS => TakeoverCause::Dead,
-            Some(_) => return TakeoverStep::Rest,
+            Some(_) if self.failed_rounds >= FAILED_ROUNDS => PromotionCause::Dead,
+            Some(_) => return PromotionDecision::Wait,
         };
         let others = || (0..members.len()).filter(|index| Some(*index) != leader);
         let answered = others().filter(|index| members[*index].report.is_some()).count();
         if synchronous > 0 && answered + synchronous <= others().count() {
-            return TakeoverStep::Rest;
+            return PromotionDecision::Wait;
         }
         let received = |index: &usize| members[*index].report.map(|report| report.received);
         let able = others().filter(|index| members[*index].report.is_some());
-        let best = able.max_by_key(|index| (members[*index].stays, received(index)));
+        let best = able.max_by_key(|index| (members[*index].is_active, received(index)));
         match best {
             Some(best) if synchronous > 0 => {
                 let most = others().max_by_key(received);
-                TakeoverStep::Promote(most.unwrap_or(best), cause)
+                PromotionDecision::Promote(most.unwrap_or(best), cause)
             }
-            Some(best) if members[best].stays => TakeoverStep::Promote(best, cause),
-            _ => TakeoverStep::Rest,
+            Some(best) if members[best].is_active => PromotionDecision::Promote(best, cause),
+            _ => PromotionDecision::Wait,
         }
     }
 }
--- a/crates/coord/src/queue.rs
+++ b/crates/coord/src/queue.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 /// Requests that one team may have waiting.
-pub const TEAM_QUEUE_LIMIT: usize = 1_024;
+pub const MAX_QUEUED_PER_TEAM: usize = 1_024;
 /// Weight of the newest sample in the smoothed holding time.
 const HOLD_SMOOTHING: f64 = 0.1;
 
@@ -15,9 +15,9 @@
     /// The team has as many requests waiting as it may.
     Full,
     /// The request is not expected to start before its deadline.
-    Late {
+    DeadlineExceeded {
         /// Expected time until it would start.
-        expected: Duration,
+        expected_wait: Duration,
     },
 }
 
@@ -95,7 +95,7 @@
     }
 
     /// Takes a permit for `team` at once if one is free for it.
-    pub fn try_take(&mut self, team: T, now: Instant) -> bool {
+    pub fn try_acquire(&mut self, team: T, now: Instant) -> bool {
         self.note_sharing(team, now);
         let waits = self.teams.get(&team).is_some_and(|queue| !queue.waiting.is_empty());
         if waits || !self.may_run(team, now) || !self.turns.is_empty() {
@@ -115,10 +115,10 @@
     ) -> Result<(), QueueRefusal> {
         let expected = self.expected_wait(team);
         if now + expected > deadline {
-            return Err(QueueRefusal::Late { expected });
+            return Err(QueueRefusal::DeadlineExceeded { expected_wait: expected });
         }
         let queue = self.teams.entry(team).or_default();
-        if queue.waiting.len() >= TEAM_QUEUE_LIMIT {
+        if queue.waiting.len() >= MAX_QUEUED_PER_TEAM {
             return Err(QueueRefusal::Full);
         }
         if queue.waiting.is_empty() {
@@ -167,7 +167,7 @@
 
     /// Returns the requests that run before one of `team` that comes now, if teams take turns: those
     /// of the team, and of each other team as many as there are turns until then.
-    pub fn turns_before(&self, team: T) -> usize {
+    pub fn requests_ahead(&self, team: T) -> usize {
         let own = self.teams.get(&team).map_or(0, |queue| queue.waiting.len());
         let rivals = self.teams.iter().filter(|(rival, _)| **rival != team);
         own + rivals.map(|(_, queue)| queue.waiting.len().min(own + 1)).sum::<usize>()
--- a/crates/coord/src/quota.rs
+++ b/crates/coord/src/quota.rs
@@ -24,11 +24,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitWindow {
     /// Span.
-    pub span: Duration,
+    pub length: Duration,
     /// Tolerance as a part of what the limit allows in the span.
-    pub tolerated_part: f64,
+    pub overage_ratio: f64,
     /// Tolerance in operations, besides.
-    pub tolerated_operations: f64,
+    pub slack_operations: f64,
 }
 
 /// Declared limits of a team.
@@ -46,7 +46,7 @@
 const KEPT_RANKS: usize = 2;
 /// Longest wait for a token: about the work of one statement. Those who are refused come back, and
 /// after longer waits they came too late. The same for all, so that patience gives no precedence.
-pub const LIMIT_PATIENCE: Duration = Duration::from_millis(15);
+pub const TOKEN_TIMEOUT: Duration = Duration::from_millis(15);
 
 /// Part of a burst that is admitted at once; the rest is spread over the window of the limit.
 const BURST_PART: f64 = 0.5;
@@ -59,28 +59,28 @@
     /// steady load that every window allows.
     fn shaped(&self, window: LimitWindow) -> (f64, f64) {
         let at_once = (self.burst * BURST_PART).max(self.burst.min(1.0));
-        let spread = (self.burst - at_once) / window.span.as_secs_f64().max(1.0);
+        let spread = (self.burst - at_once) / window.length.as_secs_f64().max(1.0);
         (self.rate + spread, at_once)
     }
 
     /// Returns the operations that a new counter may admit though it does not know what the one
     /// before it admitted.
     fn start_tokens(&self, window: LimitWindow) -> f64 {
-        let allowed = self.rate * window.span.as_secs_f64() + self.burst;
-        (allowed * window.tolerated_part + window.tolerated_operations) / TOLERANCE_SHARE
+        let allowed = self.rate * window.length.as_secs_f64() + self.burst;
+        (allowed * window.overage_ratio + window.slack_operations) / TOLERANCE_SHARE
     }
 }
 
 /// Buckets of the teams that an instance counts for.
 #[derive(Debug)]
-pub struct TeamCounters {
+pub struct TeamQuotas {
     window: LimitWindow,
     buckets: HashMap<String, TokenBucket>,
     reach: f64,
     seen_at: Option<Instant>,
 }
 
-impl TeamCounters {
+impl TeamQuotas {
     /// Creates counters for limits that hold in every `window`.
     pub fn new(window: LimitWindow) -> Self {
         Self { window, buckets: HashMap::new(), reach: 0.0, seen_at: None }
@@ -90,7 +90,7 @@
     ///
     /// Must be called more often than every [`COUNTING_GAP`]; after a longer pause, such as a
     /// suspension, every bucket starts anew.
-    pub fn observe(&mut self, reached: usize, registered: usize, now: Instant) {
+    pub fn record_reachable(&mut self, reached: usize, registered: usize, now: Instant) {
         if self.seen_at.is_some_and(|at| now.saturating_duration_since(at) > COUNTING_GAP) {
             self.buckets.clear();
         }
@@ -99,7 +99,7 @@
     }
 
     /// Returns the part of all registered instances that this one reaches, itself included.
-    pub fn reach(&self) -> f64 {
+    pub fn reachable_fraction(&self) -> f64 {
         self.reach
     }
 
--- a/crates/coord/src/rendezvous.rs
+++ b/crates/coord/src/rendezvous.rs
@@ -26,7 +26,7 @@
 }
 
 /// Returns the `count` first candidates for `subject`.
-pub fn first<'a>(
+pub fn top_ranked<'a>(
     subject: &str,
     candidates: impl IntoIterator<Item = &'a str>,
     count: usize,
--- a/crates/coord/src/routing.rs
+++ b/crates/coord/src/routing.rs
@@ -12,20 +12,20 @@
     /// Tells that the member answers this instance.
     pub reachable: bool,
     /// Local time up to which the member is known to be complete.
-    pub complete_at: Option<Instant>,
+    pub fresh_as_of: Option<Instant>,
     /// Statements of this instance that the member runs or that wait for it.
     pub load: u32,
     /// Tells that the member stands in the instance's availability zone.
-    pub near: bool,
+    pub same_zone: bool,
 }
 
 /// What a request needs of the member that serves it.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadNeeds {
+pub struct ReadRequirements {
     /// Greatest accepted age of the data; none means the primary's data.
-    pub stated_age: Option<Duration>,
+    pub max_staleness: Option<Duration>,
     /// Position that the session has seen; none means that the session stands behind a barrier.
-    pub seen: Option<LogPosition>,
+    pub min_position: Option<LogPosition>,
     /// Local time at which the session began.
     pub began_at: Instant,
 }
@@ -42,7 +42,7 @@
 }
 
 /// Picks the member for a read.
-pub fn route_read(members: &[MemberView], needs: &ReadNeeds, now: Instant) -> RouteTarget {
+pub fn route_read(members: &[MemberView], needs: &ReadRequirements, now: Instant) -> RouteTarget {
     let candidate = |view: &MemberView| {
         view.reachable && view.position.role != MemberRole::Primary && serves(view, needs, now)
     };
@@ -50,7 +50,7 @@
         .iter()
         .enumerate()
         .filter(|(_, view)| candidate(view))
-        .min_by_key(|(index, view)| (view.load, !view.near, *index));
+        .min_by_key(|(index, view)| (view.load, !view.same_zone, *index));
     match replica {
         Some((index, _)) => RouteTarget::Replica(index),
         None => route_write(members),
@@ -68,15 +68,15 @@
 }
 
 /// Tells whether a replica may serve a read.
-fn serves(view: &MemberView, needs: &ReadNeeds, now: Instant) -> bool {
-    let (Some(limit), Some(complete_at)) = (needs.stated_age, view.complete_at) else {
+fn serves(view: &MemberView, needs: &ReadRequirements, now: Instant) -> bool {
+    let (Some(limit), Some(fresh_as_of)) = (needs.max_staleness, view.fresh_as_of) else {
         return false;
     };
-    if now.saturating_duration_since(complete_at) > limit {
+    if now.saturating_duration_since(fresh_as_of) > limit {
         return false;
     }
-    match needs.seen {
+    match needs.min_position {
         Some(seen) => view.position.covers(seen),
-        None => complete_at >= needs.began_at,
+        None => fresh_as_of >= needs.began_at,
     }
 }
--- a/crates/coord/src/dialogue.rs
+++ b/crates/coord/src/session.rs
@@ -51,7 +51,7 @@
 
 /// State of a session as its caller sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum BlockState {
+pub enum TransactionState {
     /// No transaction is open.
     Idle,
     /// A transaction is open.
@@ -62,11 +62,11 @@
 
 /// Why a statement is refused without a member.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum DialogueError {
+pub enum StatementError {
     /// The statement makes no sense in the state of the session.
-    Malformed,
+    InvalidState,
     /// No statement of that name is prepared.
-    UnknownName,
+    UnknownStatement,
     /// The transaction had failed, so there is nothing to commit.
     RolledBack,
     /// The statement writes in a transaction that only reads.
@@ -75,13 +75,13 @@
 
 /// What to do with a statement.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum DialogueStep {
+pub enum StatementAction {
     /// Answer success at once.
     Acknowledge,
     /// End the transaction at the member that holds it, and answer success at once.
-    Release,
+    RollbackPinned,
     /// Answer an error at once.
-    Refuse(DialogueError),
+    Refuse(StatementError),
     /// Let a member run it.
     Forward(ForwardPlan),
 }
@@ -90,7 +90,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ForwardPlan {
     /// The statement is the first of a transaction, which must be opened before it.
-    pub opens: bool,
+    pub opens_transaction: bool,
     /// The statement runs on the connection that holds the open transaction.
     pub pinned: bool,
     /// The statement ends the transaction.
@@ -105,13 +105,13 @@
 
 impl ForwardPlan {
     /// Tells whether the statement is a whole operation.
-    pub fn is_single(&self) -> bool {
-        !self.opens && !self.pinned
+    pub fn is_autocommit(&self) -> bool {
+        !self.opens_transaction && !self.pinned
     }
 
     /// Tells whether the caller's data may change for good when the statement runs.
     pub fn changes_data(&self) -> bool {
-        self.commits || (self.is_single() && self.writes)
+        self.commits || (self.is_autocommit() && self.writes)
     }
 }
 
@@ -134,7 +134,7 @@
 
 /// State of one session.
 #[derive(Clone, Debug)]
-pub struct SessionDialogue {
+pub struct SessionMachine {
     block: TransactionBlock,
     setup: Vec<SetupEntry>,
     setup_version: u32,
@@ -143,7 +143,7 @@
     own_commit: Option<LogPosition>,
 }
 
-impl Default for SessionDialogue {
+impl Default for SessionMachine {
     fn default() -> Self {
         Self {
             block: TransactionBlock::Idle,
@@ -155,13 +155,15 @@
     }
 }
 
-impl SessionDialogue {
+impl SessionMachine {
     /// Returns the state that the caller sees.
-    pub fn state(&self) -> BlockState {
+    pub fn transaction_state(&self) -> TransactionState {
         match self.block {
-            TransactionBlock::Idle => BlockState::Idle,
-            TransactionBlock::Begun { .. } | TransactionBlock::Pinned { .. } => BlockState::Open,
-            TransactionBlock::Failed => BlockState::Failed,
+            TransactionBlock::Idle => TransactionState::Idle,
+            TransactionBlock::Begun { .. } | TransactionBlock::Pinned { .. } => {
+                TransactionState::Open
+            }
+            TransactionBlock::Failed => TransactionState::Failed,
         }
     }
 
@@ -171,7 +173,7 @@
     }
 
     /// Returns the position of the session's last commit.
-    pub fn own_commit(&self) -> Option<LogPosition> {
+    pub fn last_commit(&self) -> Option<LogPosition> {
         self.own_commit
     }
 
@@ -181,54 +183,54 @@
     }
 
     /// Returns the texts that give a fresh connection the session's values and names.
-    pub fn setup_texts(&self) -> impl Iterator<Item = &str> {
+    pub fn setup_statements(&self) -> impl Iterator<Item = &str> {
         self.setup.iter().map(|entry| entry.text.as_str())
     }
 
     /// Takes the texts that the connection of the open transaction has not run yet.
-    pub fn take_pending(&mut self) -> Vec<String> {
+    pub fn take_pending_setup(&mut self) -> Vec<String> {
         std::mem::take(&mut self.pending)
     }
 
     /// Decides about a statement whose first byte came in at `began_at`.
-    pub fn handle(
+    pub fn handle_statement(
         &mut self,
         class: &StatementClass,
         text: &str,
         began_at: Instant,
-    ) -> DialogueStep {
+    ) -> StatementAction {
         use StatementClass as Class;
         match class {
             Class::Commit | Class::Rollback => return self.handle_end(class, began_at),
             _ if self.block == TransactionBlock::Failed => {
-                return DialogueStep::Refuse(DialogueError::Malformed);
+                return StatementAction::Refuse(StatementError::InvalidState);
             }
             _ => {}
         }
         match class {
             Class::Begin { read_only } => {
                 if self.block != TransactionBlock::Idle {
-                    return DialogueStep::Refuse(DialogueError::Malformed);
+                    return StatementAction::Refuse(StatementError::InvalidState);
                 }
                 self.block = TransactionBlock::Begun { read_only: *read_only, began_at };
-                DialogueStep::Acknowledge
+                StatementAction::Acknowledge
             }
             Class::Set { name } => {
                 self.set_up(name, text, false, false);
-                DialogueStep::Acknowledge
+                StatementAction::Acknowledge
             }
             Class::Prepare { name, writes } => {
                 self.set_up(name, text, true, *writes);
-                DialogueStep::Acknowledge
+                StatementAction::Acknowledge
             }
             Class::Deallocate { name } => {
                 let known = self.find_statement(name).is_some();
                 if !known {
-                    return DialogueStep::Refuse(DialogueError::UnknownName);
+                    return StatementAction::Refuse(StatementError::UnknownStatement);
                 }
                 self.setup.retain(|entry| !(entry.statement && entry.name == *name));
                 self.setup_changed(text);
-                DialogueStep::Acknowledge
+                StatementAction::Acknowledge
             }
             Class::Execute { name } => match self.find_statement(name) {
                 Some(entry) => {
@@ -236,54 +238,54 @@
                     self.handle_work(writes, began_at)
                 }
                 None => {
-                    self.fail_open();
-                    DialogueStep::Refuse(DialogueError::UnknownName)
+                    self.fail_transaction();
+                    StatementAction::Refuse(StatementError::UnknownStatement)
                 }
             },
             Class::Read => self.handle_work(false, began_at),
             Class::Write => self.handle_work(true, began_at),
             Class::Unknown | Class::Commit | Class::Rollback => {
-                DialogueStep::Refuse(DialogueError::Malformed)
+                StatementAction::Refuse(StatementError::InvalidState)
             }
         }
     }
 
     /// Records that a member ran a forwarded statement with success.
-    pub fn note_success(&mut self, plan: &ForwardPlan, position: Option<LogPosition>) {
+    pub fn record_success(&mut self, plan: &ForwardPlan, position: Option<LogPosition>) {
         if plan.changes_data() && (plan.commits && !plan.read_only || plan.writes) {
             self.own_commit = self.own_commit.max(position);
         }
         if plan.commits {
             self.end_block();
-        } else if plan.opens {
+        } else if plan.opens_transaction {
             self.block =
                 TransactionBlock::Pinned { read_only: plan.read_only, began_at: plan.began_at };
         }
     }
 
     /// Records that a forwarded statement failed; an open transaction is lost with it.
-    pub fn note_failure(&mut self, plan: &ForwardPlan) {
+    pub fn record_failure(&mut self, plan: &ForwardPlan) {
         if plan.commits {
             self.end_block();
-        } else if !plan.is_single() {
+        } else if !plan.is_autocommit() {
             self.pending.clear();
             self.block = TransactionBlock::Failed;
         }
     }
 
     /// Fails the open transaction, because its connection is gone or it rested for too long.
-    pub fn fail_open(&mut self) {
-        if self.state() == BlockState::Open {
+    pub fn fail_transaction(&mut self) {
+        if self.transaction_state() == TransactionState::Open {
             self.pending.clear();
             self.block = TransactionBlock::Failed;
         }
     }
 
-    fn handle_end(&mut self, class: &StatementClass, began_at: Instant) -> DialogueStep {
+    fn handle_end(&mut self, class: &StatementClass, began_at: Instant) -> StatementAction {
         let commits = *class == StatementClass::Commit;
         let plan = |opens, read_only, began_at| {
-            DialogueStep::Forward(ForwardPlan {
-                opens,
+            StatementAction::Forward(ForwardPlan {
+                opens_transaction: opens,
                 pinned: !opens,
                 commits: true,
                 writes: false,
@@ -292,13 +294,13 @@
             })
         };
         match self.block {
-            TransactionBlock::Idle => DialogueStep::Refuse(DialogueError::Malformed),
+            TransactionBlock::Idle => StatementAction::Refuse(StatementError::InvalidState),
             TransactionBlock::Failed => {
                 self.end_block();
                 if commits {
-                    return DialogueStep::Refuse(DialogueError::RolledBack);
+                    return StatementAction::Refuse(StatementError::RolledBack);
                 }
-                DialogueStep::Acknowledge
+                StatementAction::Acknowledge
             }
             TransactionBlock::Begun { read_only, .. } if commits => plan(true, read_only, began_at),
             TransactionBlock::Pinned { read_only, .. } if commits => {
@@ -306,20 +308,20 @@
             }
             TransactionBlock::Begun { .. } => {
                 self.end_block();
-                DialogueStep::Acknowledge
+                StatementAction::Acknowledge
             }
             TransactionBlock::Pinned { .. } => {
                 self.end_block();
-                DialogueStep::Release
+                StatementAction::RollbackPinned
             }
         }
     }
 
-    fn handle_work(&mut self, writes: bool, now: Instant) -> DialogueStep {
+    fn handle_work(&mut self, writes: bool, now: Instant) -> StatementAction {
         let plan = |opens, pinned, read_only, began_at| {
             let commits = false;
-            DialogueStep::Forward(ForwardPlan {
-                opens,
+            StatementAction::Forward(ForwardPlan {
+                opens_transaction: opens,
                 pinned,
                 commits,
                 writes,
@@ -332,7 +334,7 @@
             | TransactionBlock::Pinned { read_only: true, .. }
                 if writes =>
             {
-                DialogueStep::Refuse(DialogueError::ReadOnly)
+                StatementAction::Refuse(StatementError::ReadOnly)
             }
             TransactionBlock::Idle => plan(false, false, !writes, now),
             TransactionBlock::Begun { read_only, began_at } => {
@@ -341,7 +343,7 @@
             TransactionBlock::Pinned { read_only, began_at } => {
                 plan(false, true, read_only, began_at)
             }
-            TransactionBlock::Failed => DialogueStep::Refuse(DialogueError::Malformed),
+            TransactionBlock::Failed => StatementAction::Refuse(StatementError::InvalidState),
         }
     }
 
--- a/crates/coord/src/confirmation.rs
+++ b/crates/coord/src/validation.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Time after the last proof for which a version may be acted on.
-pub const CONFIRMATION_LIMIT: Duration = Duration::from_millis(2_500);
+pub const VALIDATION_TTL: Duration = Duration::from_millis(2_500);
 /// Part of the time for which a withdrawn key may still work that a request admitted last needs: it
 /// waits for its token, its connection and its turn.
 const ADMITTED_RESERVE: Duration = Duration::from_millis(800);
@@ -21,39 +21,39 @@
 ///
 /// An instance that is cut off cannot be told apart from one that missed nothing, so it stops in
 /// time. `bound` less the reserve, and at least half of it.
-pub fn withdrawal_limit(bound: Duration) -> Duration {
+pub fn key_validation_ttl(bound: Duration) -> Duration {
     bound.saturating_sub(ADMITTED_RESERVE).max(bound / 2)
 }
 
 /// Answer of a peer in a round of heartbeats.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PeerWord {
+pub enum HeartbeatOutcome {
     /// The peer answered.
     Answered {
         /// Version that the peer acts on.
         version: u64,
         /// Age of the peer's proof; none if it has none.
-        proof_age: Option<Duration>,
+        validation_age: Option<Duration>,
         /// Tells that the table service does not answer the peer.
         store_down: bool,
     },
     /// The peer's machine refused the connection: no process serves there.
     Refused,
     /// The peer did not answer.
-    Silent,
+    Unanswered,
 }
 
 /// Proofs of one version on one instance.
 #[derive(Clone, Debug, Default)]
-pub struct ConfirmationMachine {
+pub struct ValidationTracker {
     version: u64,
     proved_at: Option<Instant>,
     store_failing_since: Option<Instant>,
     round_at: Option<Instant>,
-    words: HashMap<u64, PeerWord>,
+    words: HashMap<u64, HeartbeatOutcome>,
 }
 
-impl ConfirmationMachine {
+impl ValidationTracker {
     /// Returns the version that is acted on.
     pub fn version(&self) -> u64 {
         self.version
@@ -68,7 +68,7 @@
     }
 
     /// Records that the table service, asked at `asked_at`, named `version`.
-    pub fn record_store(&mut self, asked_at: Instant, version: u64) {
+    pub fn record_store_version(&mut self, asked_at: Instant, version: u64) {
         self.store_failing_since = None;
         if version == self.version {
             self.prove(asked_at);
@@ -87,14 +87,14 @@
     }
 
     /// Starts a round of heartbeats to every listed peer.
-    pub fn start_round(&mut self, now: Instant) {
+    pub fn start_heartbeat_round(&mut self, now: Instant) {
         self.round_at = Some(now);
         self.words.clear();
     }
 
     /// Records what a peer said to a question asked at `asked_at`.
-    pub fn record_peer(&mut self, peer: u64, asked_at: Instant, word: PeerWord) {
-        if let PeerWord::Answered { version, proof_age: Some(age), .. } = word
+    pub fn record_peer(&mut self, peer: u64, asked_at: Instant, word: HeartbeatOutcome) {
+        if let HeartbeatOutcome::Answered { version, validation_age: Some(age), .. } = word
             && version == self.version
             && let Some(proved_at) = asked_at.checked_sub(age)
         {
@@ -106,20 +106,20 @@
     }
 
     /// Ends a round to `listed` peers; if all of them agree on an outage, the version is proved.
-    pub fn end_round(&mut self, listed: usize, now: Instant) {
+    pub fn end_heartbeat_round(&mut self, listed: usize, now: Instant) {
         let Some(round_at) = self.round_at.take() else {
             return;
         };
-        let agrees = |word: &PeerWord| match word {
-            PeerWord::Answered { version, store_down, .. } => {
+        let agrees = |word: &HeartbeatOutcome| match word {
+            HeartbeatOutcome::Answered { version, store_down, .. } => {
                 *store_down && *version == self.version
             }
-            PeerWord::Refused => true,
-            PeerWord::Silent => false,
+            HeartbeatOutcome::Refused => true,
+            HeartbeatOutcome::Unanswered => false,
         };
         let unanimous = self.words.len() >= listed && self.words.values().all(agrees);
         // The list lags: an instance that hears nobody may have missed whoever came since.
-        let answered = |word: &PeerWord| matches!(word, PeerWord::Answered { .. });
+        let answered = |word: &HeartbeatOutcome| matches!(word, HeartbeatOutcome::Answered { .. });
         let alone = listed > 0 && !self.words.values().any(answered);
         if unanimous && !alone && self.is_store_down(now) {
             self.prove(round_at);
@@ -127,13 +127,13 @@
     }
 
     /// Returns the age of the last proof.
-    pub fn proof_age(&self, now: Instant) -> Option<Duration> {
+    pub fn validation_age(&self, now: Instant) -> Option<Duration> {
         self.proved_at.map(|at| now.saturating_duration_since(at))
     }
 
     /// Returns the time up to which the version may be acted on.
     pub fn valid_until(&self) -> Option<Instant> {
-        self.proved_at.map(|at| at + CONFIRMATION_LIMIT)
+        self.proved_at.map(|at| at + VALIDATION_TTL)
     }
 
     /// Tells whether the version may be acted on at `now`.
--- a/crates/coord/tests/decisions.rs
+++ b/crates/coord/tests/decisions.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant};
 
 use common::{Choices, check_cases};
-use coord::confirmation::{CONFIRMATION_LIMIT, ConfirmationMachine, PeerWord, withdrawal_limit};
-use coord::failover::{FailoverEffect, FailoverEvent, FailoverMachine, SILENCE_LIMIT};
+use coord::failover::{FailoverEffect, FailoverEvent, FailoverMachine, PRIMARY_TIMEOUT};
 use coord::freshness::FreshnessTracker;
-use coord::ledger::{self, ShareLedger, WHOLE};
+use coord::ledger::{self, FULL_SHARE, ShareLedger};
 use coord::queue::FairQueue;
 use coord::rendezvous;
-use coord::routing::{MemberView, ReadNeeds, RouteTarget, route_read, route_write};
+use coord::routing::{MemberView, ReadRequirements, RouteTarget, route_read, route_write};
+use coord::validation::{HeartbeatOutcome, VALIDATION_TTL, ValidationTracker, key_validation_ttl};
 use state::position::{LogPosition, MemberPosition, MemberRole, MemberStatus};
 
 fn random_view(choices: &mut Choices, now: Instant) -> MemberView {
@@ -23,9 +23,9 @@
     MemberView {
         position: MemberPosition { role, term, applied, term_start },
         reachable: choices.below(4) > 0,
-        complete_at: (choices.below(4) > 0).then(|| now - age),
+        fresh_as_of: (choices.below(4) > 0).then(|| now - age),
         load: choices.below(3) as u32,
-        near: choices.below(2) == 0,
+        same_zone: choices.below(2) == 0,
     }
 }
 
@@ -37,19 +37,19 @@
         let members: Vec<MemberView> = (0..3).map(|_| random_view(choices, now)).collect();
         let limit = Duration::from_millis(choices.below(100) as u64);
         let seen = LogPosition::new(1 + choices.below(3) as u64, choices.below(20) as u64);
-        let needs = ReadNeeds {
-            stated_age: (choices.below(3) > 0).then_some(limit),
-            seen: (choices.below(2) == 0).then_some(seen),
+        let needs = ReadRequirements {
+            max_staleness: (choices.below(3) > 0).then_some(limit),
+            min_position: (choices.below(2) == 0).then_some(seen),
             began_at: now - Duration::from_millis(choices.below(100) as u64),
         };
         let may = |view: &MemberView| {
-            let young = |age: Duration| view.complete_at.is_some_and(|at| now - at <= age);
+            let young = |age: Duration| view.fresh_as_of.is_some_and(|at| now - at <= age);
             view.reachable
                 && view.position.role != MemberRole::Primary
-                && needs.stated_age.is_some_and(young)
-                && match needs.seen {
+                && needs.max_staleness.is_some_and(young)
+                && match needs.min_position {
                     Some(seen) => view.position.covers(seen),
-                    None => view.complete_at.is_some_and(|at| at >= needs.began_at),
+                    None => view.fresh_as_of.is_some_and(|at| at >= needs.began_at),
                 }
         };
         match route_read(&members, &needs, now) {
@@ -73,18 +73,18 @@
         tracker.record_primary(at(millis), LogPosition::new(1, index));
     }
     tracker.record_member(1, &position(8));
-    assert_eq!(tracker.complete_at(1), Some(at(50)));
-    assert_eq!(tracker.age(1, at(130)), Some(Duration::from_millis(80)));
+    assert_eq!(tracker.fresh_as_of(1), Some(at(50)));
+    assert_eq!(tracker.staleness_bound(1, at(130)), Some(Duration::from_millis(80)));
     tracker.record_member(1, &position(4));
-    assert_eq!(tracker.complete_at(1), Some(at(50)), "what was shown stays shown");
-    assert_eq!(tracker.complete_at(0), None);
+    assert_eq!(tracker.fresh_as_of(1), Some(at(50)), "what was shown stays shown");
+    assert_eq!(tracker.fresh_as_of(0), None);
 }
 
 #[test]
 fn keys_stop_before_their_withdrawal_must_be_in_force() {
     for millis in [200, 1_000, 2_000, 5_000, 60_000] {
         let bound = Duration::from_millis(millis);
-        let limit = withdrawal_limit(bound);
+        let limit = key_validation_ttl(bound);
         assert!(limit < bound, "an admitted request still takes its time");
         assert!(limit * 2 >= bound, "there is time for a proof, {limit:?} of {bound:?}");
     }
@@ -94,17 +94,17 @@
 fn a_proof_of_another_instance_ages_from_before_the_question() {
     let begin = Instant::now();
     let at = |millis| begin + Duration::from_millis(millis);
-    let word = |version| PeerWord::Answered {
+    let word = |version| HeartbeatOutcome::Answered {
         version,
-        proof_age: Some(Duration::from_millis(300)),
+        validation_age: Some(Duration::from_millis(300)),
         store_down: false,
     };
-    let mut machine = ConfirmationMachine::default();
+    let mut machine = ValidationTracker::default();
     machine.adopt(4);
     machine.record_peer(1, at(1_000), word(3));
-    assert_eq!(machine.proof_age(at(1_100)), None, "it proves another document");
+    assert_eq!(machine.validation_age(at(1_100)), None, "it proves another document");
     machine.record_peer(1, at(1_000), word(4));
-    assert_eq!(machine.proof_age(at(1_100)), Some(Duration::from_millis(400)));
+    assert_eq!(machine.validation_age(at(1_100)), Some(Duration::from_millis(400)));
 }
 
 /// Runs a queue in which some teams always wait, and returns the time each was served.
@@ -160,9 +160,9 @@
 fn one_team_uses_idle_capacity() {
     let now = Instant::now();
     let mut queue: FairQueue<usize, ()> = FairQueue::new(3);
-    assert!((0..3).all(|_| queue.try_take(1, now)));
-    assert!(!queue.try_take(1, now), "no more than the capacity");
-    assert!(!queue.try_take(2, now));
+    assert!((0..3).all(|_| queue.try_acquire(1, now)));
+    assert!(!queue.try_acquire(1, now), "no more than the capacity");
+    assert!(!queue.try_acquire(2, now));
     queue.push(2, (), now + Duration::from_secs(1), now).expect("it may wait");
     queue.release(1, Duration::from_millis(1));
     assert_eq!(queue.pop(now, &mut Vec::new()), Some((2, ())));
@@ -173,10 +173,10 @@
     let now = Instant::now();
     let mut queue: FairQueue<usize, u32> = FairQueue::new(1);
     for _ in 0..50 {
-        assert!(queue.try_take(1, now));
+        assert!(queue.try_acquire(1, now));
         queue.release(1, Duration::from_millis(100));
     }
-    assert!(queue.try_take(1, now));
+    assert!(queue.try_acquire(1, now));
     let soon = now + Duration::from_millis(150);
     let mut waiting = 0;
     while queue.push(2, waiting, soon, now).is_ok() {
@@ -201,7 +201,7 @@
         firsts[first] += 1;
         ranks.sort_unstable();
         assert_eq!(ranks, (0..9).collect::<Vec<_>>());
-        assert_eq!(rendezvous::first(&subject, all(), 1), [names[first].as_str()]);
+        assert_eq!(rendezvous::top_ranked(&subject, all(), 1), [names[first].as_str()]);
     }
     assert!(firsts.iter().all(|count| (50..=160).contains(count)), "{firsts:?}");
 }
@@ -210,44 +210,52 @@
 fn a_proof_runs_out_and_a_silent_peer_blocks_agreement() {
     let begin = Instant::now() + Duration::from_secs(10);
     let at = |millis| begin + Duration::from_millis(millis);
-    let mut machine = ConfirmationMachine::default();
+    let mut machine = ValidationTracker::default();
     machine.adopt(4);
-    machine.record_store(at(0), 4);
-    assert!(machine.is_valid(at(0) + CONFIRMATION_LIMIT));
-    assert!(!machine.is_valid(at(1) + CONFIRMATION_LIMIT));
-    machine.record_store(at(100), 5);
-    assert!(!machine.is_valid(at(101) + CONFIRMATION_LIMIT), "another version proves nothing");
+    machine.record_store_version(at(0), 4);
+    assert!(machine.is_valid(at(0) + VALIDATION_TTL));
+    assert!(!machine.is_valid(at(1) + VALIDATION_TTL));
+    machine.record_store_version(at(100), 5);
+    assert!(!machine.is_valid(at(101) + VALIDATION_TTL), "another version proves nothing");
     machine.record_store_failure(at(3_000));
-    let down = |version| PeerWord::Answered { version, proof_age: None, store_down: true };
-    let mut round = |words: [PeerWord; 2]| {
-        machine.start_round(at(4_000));
+    let down =
+        |version| HeartbeatOutcome::Answered { version, validation_age: None, store_down: true };
+    let mut round = |words: [HeartbeatOutcome; 2]| {
+        machine.start_heartbeat_round(at(4_000));
         for (peer, word) in words.into_iter().enumerate() {
             machine.record_peer(peer as u64, at(4_000), word);
         }
-        machine.end_round(2, at(4_010));
+        machine.end_heartbeat_round(2, at(4_010));
         machine.is_valid(at(4_010))
     };
-    assert!(!round([down(4), PeerWord::Silent]));
+    assert!(!round([down(4), HeartbeatOutcome::Unanswered]));
     assert!(!round([down(4), down(5)]), "a peer with a newer version forbids it");
-    assert!(!round([PeerWord::Refused, PeerWord::Refused]), "nobody is left to agree with");
-    assert!(round([down(4), PeerWord::Refused]));
+    assert!(
+        !round([HeartbeatOutcome::Refused, HeartbeatOutcome::Refused]),
+        "nobody is left to agree with"
+    );
+    assert!(round([down(4), HeartbeatOutcome::Refused]));
 }
 
 #[test]
 fn an_epoch_is_issued_once() {
     let mut ledger = ShareLedger::default();
     assert!(ledger.enter_epoch(1).is_some());
-    assert!(ledger.claim_issue(1));
+    assert!(ledger.claim_issuance(1));
     assert!(ledger.enter_epoch(1).is_some(), "a repeated question is answered");
-    assert!(!ledger.claim_issue(1), "what was issued is not issued again");
-    assert!(!ledger.claim_issue(2), "nor for an epoch that was not entered");
+    assert!(!ledger.claim_issuance(1), "what was issued is not issued again");
+    assert!(!ledger.claim_issuance(2), "nor for an epoch that was not entered");
 }
 
 #[test]
 fn an_idle_giver_keeps_what_the_taker_does_not_need() {
-    let part = ledger::fair_part(WHOLE, 0.0, 0, 0.05);
+    let part = ledger::fair_grant(FULL_SHARE, 0.0, 0, 0.05);
     assert!((50_000..=75_000).contains(&part), "{part} parts for a demand of 50000");
-    assert_eq!(ledger::fair_part(WHOLE / 2, 0.5, WHOLE / 2, 0.5), 0, "nothing moves when even");
+    assert_eq!(
+        ledger::fair_grant(FULL_SHARE / 2, 0.5, FULL_SHARE / 2, 0.5),
+        0,
+        "nothing moves when even"
+    );
 }
 
 /// Feeds a machine with a primary that answers but is not heard by its replicas.
@@ -262,7 +270,7 @@
     };
     let now = Instant::now();
     let mut machine = FailoverMachine::new(3);
-    let deaf = SILENCE_LIMIT.as_millis() as u64;
+    let deaf = PRIMARY_TIMEOUT.as_millis() as u64;
     let members = [
         status(MemberRole::Primary, 9, 0),
         status(MemberRole::Replica, 7, deaf),
@@ -273,7 +281,7 @@
     }
     let fences = machine.handle(FailoverEvent::Tick, now);
     assert_eq!(fences, [FailoverEffect::Fence(1, 2), FailoverEffect::Fence(2, 2)]);
-    machine.handle(FailoverEvent::Fenced(1, 2, Some(members[1])), now);
-    let promotion = machine.handle(FailoverEvent::Fenced(2, 2, Some(members[2])), now);
+    machine.handle(FailoverEvent::FenceAnswered(1, 2, Some(members[1])), now);
+    let promotion = machine.handle(FailoverEvent::FenceAnswered(2, 2, Some(members[2])), now);
     assert_eq!(promotion, [FailoverEffect::Promote(2, 2)], "the highest of those that are deaf");
 }
--- a/crates/coord/tests/failover_fuzz.rs
+++ b/crates/coord/tests/failover_fuzz.rs
@@ -214,11 +214,11 @@
                 let (member, answer) = match &effect {
                     FailoverEffect::Fence(member, term) => {
                         let status = self.run_command(*member, &effect);
-                        (*member, Some(FailoverEvent::Fenced(*member, *term, status)))
+                        (*member, Some(FailoverEvent::FenceAnswered(*member, *term, status)))
                     }
                     FailoverEffect::Promote(member, term) => {
                         let status = self.run_command(*member, &effect);
-                        (*member, Some(FailoverEvent::Promoted(*member, *term, status)))
+                        (*member, Some(FailoverEvent::PromotionAnswered(*member, *term, status)))
                     }
                     FailoverEffect::Follow { member, .. } => {
                         self.run_command(*member, &effect);
@@ -255,7 +255,7 @@
             }
             for member in 0..MEMBERS {
                 let event = if self.members[member].paused {
-                    FailoverEvent::Lost(member)
+                    FailoverEvent::Unreachable(member)
                 } else {
                     FailoverEvent::Status(member, self.members[member].status(self.now))
                 };
--- a/crates/coord/tests/ledger_fuzz.rs
+++ b/crates/coord/tests/ledger_fuzz.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use common::{Choices, check_cases, expect_failure};
-use coord::confirmation::{CONFIRMATION_LIMIT, ConfirmationMachine};
-use coord::ledger::{MovedTotals, ShareLedger, WHOLE};
+use coord::ledger::{FULL_SHARE, ShareLedger, TransferTotals};
+use coord::validation::{VALIDATION_TTL, ValidationTracker};
 use slotmap::SlotMap;
 use state::bucket::TokenBucket;
 use state::catalog::TeamKey;
@@ -40,13 +40,13 @@
     /// Incarnation that the totals are for; a later one at the same place ignores them.
     taker: u64,
     epoch: u64,
-    totals: MovedTotals,
+    totals: TransferTotals,
 }
 
 struct ModelInstance {
     id: u64,
     ledger: ShareLedger,
-    proof: ConfirmationMachine,
+    proof: ValidationTracker,
     bucket: TokenBucket,
     cut: bool,
 }
@@ -94,8 +94,8 @@
             model.instances.push(instance);
         }
         let first = &mut model.instances[0];
-        assert!(first.ledger.claim_issue(1));
-        first.ledger.issue(team, WHOLE);
+        assert!(first.ledger.claim_issuance(1));
+        first.ledger.issue(team, FULL_SHARE);
         model.resize(0);
         model
     }
@@ -105,7 +105,7 @@
         self.next_id += 1;
         let mut ledger = ShareLedger::default();
         ledger.forfeit_epoch(self.stored_epoch);
-        let mut proof = ConfirmationMachine::default();
+        let mut proof = ValidationTracker::default();
         proof.adopt(self.stored_epoch);
         let bucket = TokenBucket::empty(0.0, 0.0, self.now);
         ModelInstance { id, ledger, proof, bucket, cut: false }
@@ -113,7 +113,7 @@
 
     fn resize(&mut self, index: usize) {
         let instance = &mut self.instances[index];
-        let part = instance.ledger.share(self.team) as f64 / WHOLE as f64;
+        let part = instance.ledger.share(self.team) as f64 / FULL_SHARE as f64;
         instance.bucket.resize(RATE * part, BURST * part, self.now);
     }
 
@@ -179,7 +179,7 @@
             if down {
                 instance.proof.record_store_failure(now);
             } else {
-                instance.proof.record_store(now, stored);
+                instance.proof.record_store_version(now, stored);
             }
         }
         self.heartbeat();
@@ -193,23 +193,24 @@
             .instances
             .iter()
             .map(|instance| {
-                let word = coord::confirmation::PeerWord::Answered {
+                let word = coord::validation::HeartbeatOutcome::Answered {
                     version: instance.proof.version(),
-                    proof_age: instance.proof.proof_age(now),
+                    validation_age: instance.proof.validation_age(now),
                     store_down: instance.proof.is_store_down(now),
                 };
-                if instance.cut { coord::confirmation::PeerWord::Silent } else { word }
+                if instance.cut { coord::validation::HeartbeatOutcome::Unanswered } else { word }
             })
             .collect();
         for index in 0..INSTANCES {
             let cut = self.instances[index].cut;
             let proof = &mut self.instances[index].proof;
-            proof.start_round(now);
+            proof.start_heartbeat_round(now);
             for (peer, word) in words.iter().enumerate().filter(|(peer, _)| *peer != index) {
-                let word = if cut { coord::confirmation::PeerWord::Silent } else { *word };
+                let word =
+                    if cut { coord::validation::HeartbeatOutcome::Unanswered } else { *word };
                 proof.record_peer(peer as u64, now, word);
             }
-            proof.end_round(INSTANCES - 1, now);
+            proof.end_heartbeat_round(INSTANCES - 1, now);
         }
     }
 
@@ -254,11 +255,11 @@
             return;
         }
         let own = instance.ledger.share(team);
-        let part = instance.ledger.plan_gift(team, taker_share, 0.4);
+        let part = instance.ledger.plan_grant(team, taker_share, 0.4);
         let part = part.min(own);
         let wanted = instance.bucket.available(now) * part as f64 / own.max(1) as f64;
         let tokens = instance.bucket.withdraw(wanted, now);
-        let totals = instance.ledger.give(team, taker_id, part, tokens);
+        let totals = instance.ledger.grant(team, taker_id, part, tokens);
         if rule == BrokenRule::GiveWithoutShrinking {
             instance.ledger.issue(team, part);
         }
@@ -286,7 +287,8 @@
         }
         let (team, now, rule) = (self.team, self.now, self.rule);
         let instance = &mut self.instances[message.to];
-        let grant = instance.ledger.take(team, message.from, message.epoch, message.totals);
+        let grant =
+            instance.ledger.receive_grant(team, message.from, message.epoch, message.totals);
         if rule == BrokenRule::TakeTwice && message.epoch == instance.ledger.epoch() {
             instance.ledger.issue(team, message.totals.share);
         }
@@ -310,7 +312,7 @@
         let mut reports = vec![None; INSTANCES];
         reports[issuer] = self.report(issuer, number);
         self.confirm(issuer, number);
-        self.instances[issuer].proof.record_store(now, number);
+        self.instances[issuer].proof.record_store_version(now, number);
         self.census = Some(Census { number, issuer, started_at: now, reports });
         if self.rule == BrokenRule::IssueAtOnce {
             self.issue_missing();
@@ -346,14 +348,14 @@
 
     fn confirm(&mut self, index: usize, epoch: u64) {
         let instance = &mut self.instances[index];
-        if instance.ledger.confirm_epoch(epoch) {
+        if instance.ledger.mark_epoch_counted(epoch) {
             instance.proof.adopt(epoch);
         }
     }
 
     fn finish_census(&mut self) {
         let over = self.census.as_ref().is_some_and(|census| {
-            let limit = CONFIRMATION_LIMIT + Duration::from_millis(250);
+            let limit = VALIDATION_TTL + Duration::from_millis(250);
             self.now.duration_since(census.started_at) > limit
         });
         if over {
@@ -367,8 +369,8 @@
         };
         let known: u64 = census.reports.iter().flatten().sum();
         let issuer = &mut self.instances[census.issuer];
-        if issuer.ledger.claim_issue(census.number) {
-            issuer.ledger.issue(self.team, WHOLE.saturating_sub(known));
+        if issuer.ledger.claim_issuance(census.number) {
+            issuer.ledger.issue(self.team, FULL_SHARE.saturating_sub(known));
             self.resize(census.issuer);
         }
     }
@@ -382,7 +384,7 @@
             .filter(usable)
             .map(|instance| instance.ledger.share(self.team))
             .sum();
-        assert!(sum <= WHOLE, "shares in use add up to {sum}");
+        assert!(sum <= FULL_SHARE, "shares in use add up to {sum}");
         let Some(last) = self.admitted.last() else {
             return;
         };
--- a/crates/coord/tests/worst_load.rs
+++ b/crates/coord/tests/worst_load.rs
@@ -8,11 +8,11 @@
 
 use common::{Choices, check_cases};
 use coord::placement::{
-    EndpointView, HolderCandidate, ReadCandidate, connection_limit, order_for_read, order_holders,
+    EndpointView, OwnerCandidate, ReadCandidate, connection_limit, order_for_read, order_owners,
 };
+use coord::priority::PriorityQueue;
 use coord::queue::QueueRefusal;
-use coord::quota::{LIMIT_PATIENCE, LimitWindow, TeamCounters, TeamLimit};
-use coord::urgency::UrgencyQueue;
+use coord::quota::{LimitWindow, TOKEN_TIMEOUT, TeamLimit, TeamQuotas};
 use state::position::LogPosition;
 
 /// Names a test and gives it the time at which its load starts.
@@ -28,7 +28,7 @@
 
 const SPAN: Duration = Duration::from_secs(5);
 const WINDOW: LimitWindow =
-    LimitWindow { span: SPAN, tolerated_part: 0.1, tolerated_operations: 20.0 };
+    LimitWindow { length: SPAN, overage_ratio: 0.1, slack_operations: 20.0 };
 
 fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
@@ -37,7 +37,7 @@
 /// Runs a queue of one permit held for 10 ms each under `arrivals` (level, team) a millisecond
 /// apart, and returns the order in which they start; refused ones are missing.
 fn serve(arrivals: &[(u8, u32)], patience: Duration, start: Instant) -> Vec<usize> {
-    let mut queue = UrgencyQueue::new(1);
+    let mut queue = PriorityQueue::new(1);
     let mut started = Vec::new();
     let mut running: Option<(u8, u32, Instant)> = None;
     let mut expired = Vec::new();
@@ -55,7 +55,7 @@
             }
         }
         if let Some((level, team)) = arrivals.get(tick as usize) {
-            if queue.try_take(*level) {
+            if queue.try_acquire(*level) {
                 started.push(tick as usize);
                 running = Some((*level, *team, now));
             } else if queue.push(*level, *team, tick as usize, now + patience, now).is_err() {
@@ -77,12 +77,12 @@
 // A team of slow statements fills the queue; a request of another team was refused although its turn
 // comes next.
 load_case!(a_flooding_team_gets_no_other_refused, start => {
-    let mut queue = UrgencyQueue::new(4);
+    let mut queue = PriorityQueue::new(4);
     for _ in 0..200 {
-        queue.try_take(1);
+        queue.try_acquire(1);
         queue.release(1, 1, millis(100));
     }
-    assert_eq!((0..4).filter(|_| queue.try_take(1)).count(), 4);
+    assert_eq!((0..4).filter(|_| queue.try_acquire(1)).count(), 4);
     let latest = start + millis(300);
     let flood = (0..40).filter(|index| queue.push(1, 1, *index, latest, start).is_ok()).count();
     assert!((8..=12).contains(&flood), "only what starts in time waits, {flood}");
@@ -112,14 +112,14 @@
 });
 
 load_case!(a_refusal_states_the_wait, start => {
-    let mut queue = UrgencyQueue::new(1);
-    assert!(queue.try_take(1));
+    let mut queue = PriorityQueue::new(1);
+    assert!(queue.try_acquire(1));
     for index in 0..5 {
         queue.push(1, 1, index, start + millis(10_000), start).expect("there is time");
     }
     let refused = queue.push(1, 1, 9, start + millis(1), start);
     match refused {
-        Err(QueueRefusal::Late { expected }) => assert!(expected >= millis(50), "{expected:?}"),
+        Err(QueueRefusal::DeadlineExceeded { expected_wait }) => assert!(expected_wait >= millis(50), "{expected_wait:?}"),
         other => panic!("{other:?}"),
     }
 });
@@ -133,17 +133,17 @@
             rate: 5.0 + choices.below(60) as f64,
             burst: 1.0 + choices.below(60) as f64,
         };
-        let mut counters = TeamCounters::new(WINDOW);
+        let mut counters = TeamQuotas::new(WINDOW);
         let mut starts: Vec<Duration> = Vec::new();
         let mut now = Duration::ZERO;
-        counters.observe(1, 1, start);
+        counters.record_reachable(1, 1, start);
         while !choices.is_done() {
             now += millis(choices.below(60) as u64);
-            counters.observe(1, 1, start + now);
+            counters.record_reachable(1, 1, start + now);
             for _ in 0..choices.below(12) {
                 let rank = choices.below(3);
                 if let Ok(after) =
-                    counters.take("team", limit, rank, LIMIT_PATIENCE, true, start + now)
+                    counters.take("team", limit, rank, TOKEN_TIMEOUT, true, start + now)
                 {
                     starts.push(now + after);
                 }
@@ -162,10 +162,10 @@
     let limit = TeamLimit { rate: 40.0, burst: 40.0 };
     let mut admitted = 0;
     for (reached, registered) in [(6, 9), (1, 9), (1, 9), (1, 9)] {
-        let mut counters = TeamCounters::new(WINDOW);
+        let mut counters = TeamQuotas::new(WINDOW);
         for tick in 0..500 {
             let now = start + millis(10 * tick);
-            counters.observe(reached, registered, now);
+            counters.record_reachable(reached, registered, now);
             for _ in 0..5 {
                 admitted += usize::from(counters.take("team", limit, 0, Duration::ZERO, false, now).is_ok());
             }
@@ -180,10 +180,10 @@
     let limit = TeamLimit { rate: 40.0, burst: 40.0 };
     let mut admitted = 0;
     for (from, to, first) in [(0, 2_000, true), (2_000, 3_500, false), (3_500, 5_000, false)] {
-        let mut counters = TeamCounters::new(WINDOW);
+        let mut counters = TeamQuotas::new(WINDOW);
         for tick in from / 10..to / 10 {
             let now = start + millis(10 * tick);
-            counters.observe(1, 1, now);
+            counters.record_reachable(1, 1, now);
             for _ in 0..5 {
                 admitted += usize::from(counters.take("team", limit, 0, Duration::ZERO, first, now).is_ok());
             }
@@ -196,10 +196,10 @@
 
 load_case!(a_counter_that_was_suspended_starts_anew, start => {
     let limit = TeamLimit { rate: 1.0, burst: 500.0 };
-    let mut counters = TeamCounters::new(WINDOW);
-    counters.observe(1, 1, start);
+    let mut counters = TeamQuotas::new(WINDOW);
+    counters.record_reachable(1, 1, start);
     let mut take = |now, first| {
-        counters.observe(1, 1, now);
+        counters.record_reachable(1, 1, now);
         (0..1_000).filter(|_| counters.take("team", limit, 0, Duration::ZERO, first, now).is_ok()).count()
     };
     assert!(take(start, true) >= 200, "a first start is full");
@@ -209,11 +209,11 @@
 
 load_case!(a_team_over_its_limit_keeps_tokens_for_urgent_operations, start => {
     let limit = TeamLimit { rate: 20.0, burst: 20.0 };
-    let mut counters = TeamCounters::new(WINDOW);
+    let mut counters = TeamQuotas::new(WINDOW);
     let (mut urgent, mut other) = (0, 0);
     for tick in 0..1_000_u64 {
         let now = start + millis(10 * tick);
-        counters.observe(1, 1, now);
+        counters.record_reachable(1, 1, now);
         // Fifty others a second and five urgent ones, against twenty tokens.
         if tick % 2 == 0 {
             other += usize::from(counters.take("team", limit, 1, Duration::ZERO, true, now).is_ok());
@@ -233,13 +233,13 @@
     let least_pause = millis(50);
     // The shortest target latency in use less the work of a statement.
     let latest = millis(200 - 30);
-    let mut counters = TeamCounters::new(WINDOW);
+    let mut counters = TeamQuotas::new(WINDOW);
     let mut asked: BinaryHeap<Reverse<(Duration, Duration, u32)>> =
         (0..1_500).map(|index| Reverse((millis(index * 20 / 3), millis(index * 20 / 3), 0))).collect();
     let (mut served, mut late) = (0, 0);
     while let Some(Reverse((at, first, returns))) = asked.pop() {
-        counters.observe(1, 1, start + at);
-        match counters.take("team", limit, 0, LIMIT_PATIENCE, true, start + at) {
+        counters.record_reachable(1, 1, start + at);
+        match counters.take("team", limit, 0, TOKEN_TIMEOUT, true, start + at) {
             Ok(after) if at + after - first > latest => late += 1,
             Ok(_) => served += 1,
             Err(delay) if returns < 2 => {
@@ -255,10 +255,10 @@
 fn candidate(near: bool, leads: bool, queue_ms: u64, index: u64, now: Instant) -> ReadCandidate {
     let view = EndpointView {
         position: Some((LogPosition::new(1, index), now)),
-        queue: Some((millis(queue_ms), now)),
+        queue_delay: Some((millis(queue_ms), now)),
         ..EndpointView::default()
     };
-    ReadCandidate { view, near, leads }
+    ReadCandidate { view, same_zone: near, leads }
 }
 
 load_case!(reads_leave_a_full_replica_nearby, start => {
@@ -298,12 +298,12 @@
     let names: Vec<String> = (0..9).map(|index| format!("instance-{index}")).collect();
     let near = |name: &str| name.ends_with(['0', '1', '2']);
     let order = |endpoint: &str, without: &str| {
-        let candidates: Vec<HolderCandidate<'_>> = names
+        let candidates: Vec<OwnerCandidate<'_>> = names
             .iter()
             .filter(|name| *name != without)
-            .map(|name| HolderCandidate { name, near: near(name) })
+            .map(|name| OwnerCandidate { name, same_zone: near(name) })
             .collect();
-        order_holders(endpoint, &candidates).into_iter().map(str::to_owned).collect::<Vec<_>>()
+        order_owners(endpoint, &candidates).into_iter().map(str::to_owned).collect::<Vec<_>>()
     };
     for index in 0..40 {
         let endpoint = format!("endpoint-{index}");
--- a/crates/engine/src/caller.rs
+++ b/crates/engine/src/caller.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use coord::dialogue::{
-    BlockState, DialogueError, DialogueStep, ForwardPlan, SessionDialogue, StatementClass,
+use coord::session::{
+    ForwardPlan, SessionMachine, StatementAction, StatementClass, StatementError, TransactionState,
 };
 use metrics::{counter, histogram};
 use telemetry::event::LogEvent;
@@ -42,7 +42,7 @@
     input: LineBuffer,
     database: String,
     key: Option<String>,
-    dialogue: SessionDialogue,
+    dialogue: SessionMachine,
     session: u64,
     pinned: Option<PinnedPlace>,
     /// Arrival of the statement that is being answered.
@@ -97,7 +97,7 @@
         input: LineBuffer::default(),
         database: String::new(),
         key: None,
-        dialogue: SessionDialogue::default(),
+        dialogue: SessionMachine::default(),
         pinned: None,
     };
     if session.open().await.is_some() {
@@ -130,7 +130,7 @@
             return None;
         }
         let mut out = Vec::new();
-        E::Codec::encode_ready(&mut out, BlockState::Idle);
+        E::Codec::encode_ready(&mut out, TransactionState::Idle);
         self.write(&out).await
     }
 
@@ -180,7 +180,7 @@
                             let mut out = Vec::new();
                             let code = RefusalCode::Malformed;
                             E::Codec::encode_error(&mut out, code, "request cannot be understood");
-                            E::Codec::encode_ready(&mut out, self.dialogue.state());
+                            E::Codec::encode_ready(&mut out, self.dialogue.transaction_state());
                             if self.write(&out).await.is_none() {
                                 return;
                             }
@@ -190,7 +190,7 @@
                 SessionEvent::RestedTooLong => {
                     log_event!(LogEvent::TransactionExpired, "database={}", self.database);
                     self.drop_transaction();
-                    self.dialogue.fail_open();
+                    self.dialogue.fail_transaction();
                 }
                 SessionEvent::Closed | SessionEvent::Leaving => return,
             }
@@ -213,7 +213,7 @@
                 None => std::future::pending().await,
             }
         };
-        let idle = self.dialogue.state() == BlockState::Idle;
+        let idle = self.dialogue.transaction_state() == TransactionState::Idle;
         let leaving = async {
             node.left().await;
             if !idle {
@@ -252,31 +252,31 @@
             Ok(allowed) => allowed,
             Err((code, explanation)) => {
                 self.drop_transaction();
-                self.dialogue.fail_open();
+                self.dialogue.fail_transaction();
                 self.log_refusal(id, code, explanation);
                 E::Codec::encode_error(&mut out, code, explanation);
-                E::Codec::encode_ready(&mut out, self.dialogue.state());
+                E::Codec::encode_ready(&mut out, self.dialogue.transaction_state());
                 return out;
             }
         };
-        match self.dialogue.handle(class, text, began_at) {
-            DialogueStep::Acknowledge => E::Codec::encode_acknowledgement(&mut out),
-            DialogueStep::Release => {
+        match self.dialogue.handle_statement(class, text, began_at) {
+            StatementAction::Acknowledge => E::Codec::encode_acknowledgement(&mut out),
+            StatementAction::RollbackPinned => {
                 self.drop_transaction();
                 E::Codec::encode_acknowledgement(&mut out);
             }
-            DialogueStep::Refuse(error) => {
-                if self.dialogue.state() == BlockState::Failed {
+            StatementAction::Refuse(error) => {
+                if self.dialogue.transaction_state() == TransactionState::Failed {
                     self.drop_transaction();
                 }
                 let (code, explanation) = explain(error);
                 E::Codec::encode_error(&mut out, code, explanation);
             }
-            DialogueStep::Forward(plan) => {
+            StatementAction::Forward(plan) => {
                 self.forward(&plan, &route, &team, id, text, &mut out).await;
             }
         }
-        E::Codec::encode_ready(&mut out, self.dialogue.state());
+        E::Codec::encode_ready(&mut out, self.dialogue.transaction_state());
         out
     }
 
@@ -289,7 +289,7 @@
         text: &str,
         out: &mut Vec<u8>,
     ) {
-        let pending = if plan.pinned { self.dialogue.take_pending() } else { Vec::new() };
+        let pending = if plan.pinned { self.dialogue.take_pending_setup() } else { Vec::new() };
         let context = OperationContext {
             plan,
             route,
@@ -308,13 +308,13 @@
         histogram!(meter::REQUEST_SECONDS, "class" => class).record(waited.as_secs_f64());
         match result {
             OperationResult::Success { content, position, place } => {
-                self.dialogue.note_success(plan, position);
+                self.dialogue.record_success(plan, position);
                 self.pinned = if plan.commits { None } else { place.or(self.pinned.take()) };
                 out.extend_from_slice(&content);
             }
             OperationResult::Failure { content, code, explanation } => {
-                self.dialogue.note_failure(plan);
-                if !plan.is_single() {
+                self.dialogue.record_failure(plan);
+                if !plan.is_autocommit() {
                     self.drop_transaction();
                 }
                 if content.is_empty() {
@@ -361,7 +361,7 @@
             team.as_deref().unwrap_or(OPEN_TEAM),
             code.label(),
             document.version,
-            self.dialogue.state(),
+            self.dialogue.transaction_state(),
             self.node.now().saturating_duration_since(self.began_at).as_millis()
         );
     }
@@ -400,13 +400,13 @@
     }
 }
 
-fn explain(error: DialogueError) -> (RefusalCode, &'static str) {
+fn explain(error: StatementError) -> (RefusalCode, &'static str) {
     match error {
-        DialogueError::Malformed => {
+        StatementError::InvalidState => {
             (RefusalCode::Malformed, "statement makes no sense in this state of the session")
         }
-        DialogueError::UnknownName => (RefusalCode::UnknownName, "no statement of that name"),
-        DialogueError::RolledBack => (RefusalCode::Aborted, "the transaction was rolled back"),
-        DialogueError::ReadOnly => (RefusalCode::ReadOnly, "the transaction only reads"),
+        StatementError::UnknownStatement => (RefusalCode::UnknownName, "no statement of that name"),
+        StatementError::RolledBack => (RefusalCode::Aborted, "the transaction was rolled back"),
+        StatementError::ReadOnly => (RefusalCode::ReadOnly, "the transaction only reads"),
     }
 }
--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use coord::urgency::UrgencyLevel;
+use coord::priority::PriorityLevel;
 use telemetry::event::LogEvent;
 use telemetry::log_event;
 use tokio::io::AsyncWriteExt;
@@ -195,7 +195,7 @@
     pub async fn count(
         &self,
         team: &str,
-        level: UrgencyLevel,
+        level: PriorityLevel,
         patience: Duration,
         limit: Duration,
     ) -> Option<CountAnswer> {
--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use coord::marks::{MarkRing, ProvedMark};
 use coord::placement::{EndpointView, ReadCandidate, order_for_read};
+use coord::priority::PriorityLevel;
 use coord::quota::TeamLimit;
-use coord::urgency::UrgencyLevel;
+use coord::watermark::{Watermark, WatermarkRing};
 use state::position::LogPosition;
 
 use crate::record::{EndpointRecord, FleetDocument, RouteRecord, ServiceRecord};
@@ -27,7 +27,7 @@
     services: HashMap<String, ServiceRecord>,
     teams_by_key: HashMap<String, Rc<str>>,
     limits: HashMap<String, Option<TeamLimit>>,
-    levels: BTreeSet<UrgencyLevel>,
+    levels: BTreeSet<PriorityLevel>,
 }
 
 impl DocumentIndex {
@@ -69,7 +69,7 @@
     }
 
     /// Returns how many urgencies above `level` the routes have.
-    pub fn rank(&self, level: UrgencyLevel) -> usize {
+    pub fn rank(&self, level: PriorityLevel) -> usize {
         self.levels.iter().filter(|other| **other < level).count()
     }
 
@@ -115,7 +115,7 @@
 /// Leader and proved positions of a service.
 #[derive(Clone, Debug, Default)]
 struct ServiceKnowledge {
-    marks: MarkRing,
+    marks: WatermarkRing,
     leader: Option<(String, u64)>,
     members: Vec<String>,
 }
@@ -239,11 +239,11 @@
     }
 
     /// Records a position proved by the leader of a service; true if the leader is new.
-    pub fn note_leader(&mut self, endpoint: &str, mark: ProvedMark) -> bool {
+    pub fn note_leader(&mut self, endpoint: &str, mark: Watermark) -> bool {
         let Some(entry) = self.endpoints.get_mut(endpoint) else {
             return false;
         };
-        entry.view.followed_at = None;
+        entry.view.not_leader_at = None;
         let service = entry.record.service.clone();
         self.services.entry(service.clone()).or_default().marks.record(mark);
         self.hear_leader(&service, endpoint, mark.position.term)
@@ -261,12 +261,12 @@
     }
 
     /// Records a mark that another instance passed on.
-    pub fn note_mark(&mut self, service: &str, mark: ProvedMark) {
+    pub fn note_mark(&mut self, service: &str, mark: Watermark) {
         self.services.entry(service.to_owned()).or_default().marks.record(mark);
     }
 
     /// Returns the marks of a service.
-    pub fn marks(&self, service: &str) -> Option<&MarkRing> {
+    pub fn marks(&self, service: &str) -> Option<&WatermarkRing> {
         self.services.get(service).map(|knowledge| &knowledge.marks)
     }
 
@@ -311,7 +311,7 @@
                 .collect();
             others.sort_by_key(|name| {
                 let entry = &self.endpoints[*name];
-                (entry.view.is_follower(now), !entry.stays(), entry.view.is_avoided(now))
+                (entry.view.is_follower(now), !entry.stays(), entry.view.failed_recently(now))
             });
             order.extend(others.into_iter().cloned());
         }
@@ -331,7 +331,7 @@
         order.sort_by_key(|name| {
             let entry = &self.endpoints[*name];
             // A leader that failed may have been replaced by one that has proved nothing yet.
-            (entry.view.is_follower(now), entry.view.is_avoided(now), proved != Some(*name))
+            (entry.view.is_follower(now), entry.view.failed_recently(now), proved != Some(*name))
         });
         order
     }
@@ -354,7 +354,7 @@
         let candidate = |name: &&String| {
             let entry = &self.endpoints[*name];
             let near = entry.record.zone == zone;
-            ReadCandidate { view: entry.view, near, leads: leads(name) }
+            ReadCandidate { view: entry.view, same_zone: near, leads: leads(name) }
         };
         let candidates: Vec<ReadCandidate> = members.iter().map(candidate).collect();
         let order = order_for_read(&candidates, needed, now);
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use coord::marks::ProvedMark;
+use coord::watermark::Watermark;
 use telemetry::event::LogEvent;
 use telemetry::log_event;
 
@@ -89,7 +89,7 @@
             let mut directory = self.directory.borrow_mut();
             let service = directory.endpoint(&endpoint).map(|entry| entry.record.service.clone());
             if let Some(service) = service {
-                directory.note_mark(&service, ProvedMark { asked_at, position });
+                directory.note_mark(&service, Watermark { as_of: asked_at, position });
             }
         }
         reply
@@ -109,7 +109,7 @@
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
         directory.observe(endpoint, |view| {
-            view.queue = Some((Duration::from_millis(reply.queue_ms.into()), now));
+            view.queue_delay = Some((Duration::from_millis(reply.queue_ms.into()), now));
             match &reply.outcome {
                 ExecuteOutcome::Answered(answers) => {
                     view.failed_at = None;
@@ -133,7 +133,7 @@
         let mut directory = self.directory.borrow_mut();
         match (proof.error, proof.position) {
             (None, Some(position)) => {
-                let mark = ProvedMark { asked_at: sent_at, position };
+                let mark = Watermark { as_of: sent_at, position };
                 if directory.note_leader(endpoint, mark) {
                     log_event!(
                         LogEvent::PrimaryChanged,
@@ -143,7 +143,7 @@
                 }
             }
             (Some(RefusalCode::ReadOnly), _) => {
-                directory.observe(endpoint, |view| view.followed_at = Some(now));
+                directory.observe(endpoint, |view| view.not_leader_at = Some(now));
             }
             _ => {}
         }
--- a/crates/engine/src/holder.rs
+++ b/crates/engine/src/holder.rs
@@ -9,12 +9,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use coord::dialogue::BlockState;
-use coord::marks::ProvedMark;
-use coord::placement::{RestingConnection, connection_limit};
+use coord::placement::{IdleConnectionKind, connection_limit};
+use coord::priority::{PriorityLevel, PriorityQueue};
+use coord::promotion::MemberReport;
 use coord::rendezvous;
-use coord::takeover::MemberReport;
-use coord::urgency::{UrgencyLevel, UrgencyQueue};
+use coord::session::TransactionState;
+use coord::watermark::Watermark;
 use telemetry::event::LogEvent;
 use telemetry::log_event;
 use tokio::sync::{Notify, oneshot};
@@ -87,7 +87,7 @@
     pub fn work(&self) -> usize {
         let work = |pool: &Rc<EndpointPool>| {
             let queue = pool.queue.borrow();
-            queue.in_use() + queue.waiting_before(UrgencyLevel::MAX)
+            queue.in_use() + queue.waiting_up_to(PriorityLevel::MAX)
         };
         self.pools.borrow().values().map(work).sum()
     }
@@ -117,8 +117,8 @@
         let queue_wait = pool.queue.borrow().expected_wait(call.level);
         let directory = self.directory.borrow();
         let newest = directory.marks(&pool.service).and_then(|marks| marks.newest());
-        let age = |mark: ProvedMark| {
-            (mark.position, millis(now.saturating_duration_since(mark.asked_at)) + 1)
+        let age = |mark: Watermark| {
+            (mark.position, millis(now.saturating_duration_since(mark.as_of)) + 1)
         };
         ExecuteReply { outcome, queue_ms: millis(queue_wait), mark: newest.map(age) }
     }
@@ -181,12 +181,12 @@
             let mut closed = Vec::new();
             pool.idle.borrow_mut().retain_mut(|idle| {
                 let resting = match newest.get(&idle.team) {
-                    _ if !held_here => RestingConnection::Foreign,
-                    Some(newest) if *newest > idle.idle_since => RestingConnection::Spare,
-                    _ => RestingConnection::Last,
+                    _ if !held_here => IdleConnectionKind::Moved,
+                    Some(newest) if *newest > idle.idle_since => IdleConnectionKind::Surplus,
+                    _ => IdleConnectionKind::LastUsed,
                 };
                 let rested = now.saturating_duration_since(idle.idle_since);
-                let old = rested > resting.longest_rest();
+                let old = rested > resting.idle_timeout();
                 if old || idle.connection.is_spoilt() {
                     closed.push(());
                     return false;
@@ -213,7 +213,7 @@
     fn resize_pool(&self, pool: &EndpointPool) {
         let directory = self.directory.borrow();
         let document = directory.document();
-        let reach = self.counters.borrow().reach();
+        let reach = self.counters.borrow().reachable_fraction();
         if let Some(service) = document.service(&pool.service) {
             pool.limit.set(connection_limit(service.connections, reach));
         }
@@ -236,7 +236,7 @@
             service: entry.record.service.clone(),
             address: entry.record.address,
             born_ms: entry.record.born_ms,
-            queue: RefCell::new(UrgencyQueue::new(1)),
+            queue: RefCell::new(PriorityQueue::new(1)),
             idle: RefCell::default(),
             open: Cell::new(0),
             limit: Cell::new(1),
@@ -261,7 +261,7 @@
         let begun_at = self.now();
         let deadline = begun_at + Duration::from_millis(call.answer_within_ms.into());
         let permit = if call.pinned {
-            pool.queue.borrow_mut().take_pinned();
+            pool.queue.borrow_mut().acquire_pinned();
             self.permit(pool, call.level, team_number(&call.team))
         } else {
             if pool.is_shunned(begun_at) {
@@ -286,7 +286,7 @@
                     return not_sent(HoldReason::Unreachable, RETRY_PAUSE);
                 }
                 Err(TakeError::Full) => {
-                    let retry = pool.queue.borrow().expected_turn(permit.level, permit.team);
+                    let retry = pool.queue.borrow().expected_team_wait(permit.level, permit.team);
                     return not_sent(HoldReason::Connections, retry);
                 }
             }
@@ -307,7 +307,7 @@
         ExecuteOutcome::Answered(answers)
     }
 
-    fn permit(&self, pool: &Rc<EndpointPool>, level: UrgencyLevel, team: u64) -> RunPermit {
+    fn permit(&self, pool: &Rc<EndpointPool>, level: PriorityLevel, team: u64) -> RunPermit {
         let (clock, taken_at) = (self.clock.clone(), self.now());
         RunPermit { pool: pool.clone(), clock, level, team, taken_at }
     }
@@ -319,13 +319,13 @@
         now: Instant,
     ) -> Result<RunPermit, Duration> {
         let (level, team) = (call.level, team_number(&call.team));
-        if pool.queue.borrow_mut().try_take(level) {
+        if pool.queue.borrow_mut().try_acquire(level) {
             return Ok(self.permit(pool, level, team));
         }
         let wait = Duration::from_millis(call.start_within_ms.into());
         let (sender, mut receiver) = oneshot::channel();
         let pushed = pool.queue.borrow_mut().push(level, team, sender, now + wait, now);
-        let expected = |pool: &EndpointPool| pool.queue.borrow().expected_turn(level, team);
+        let expected = |pool: &EndpointPool| pool.queue.borrow().expected_team_wait(level, team);
         if pushed.is_err() {
             return Err(expected(pool));
         }
@@ -549,7 +549,7 @@
         };
         match (proof.error, proof.position) {
             (None, Some(position)) => {
-                let mark = ProvedMark { asked_at, position };
+                let mark = Watermark { as_of: asked_at, position };
                 if directory.note_leader(&pool.endpoint, mark) {
                     self.announced.notify_waiters();
                     log_event!(
@@ -562,7 +562,7 @@
                 }
             }
             (Some(RefusalCode::ReadOnly), _) => {
-                directory.observe(&pool.endpoint, |view| view.followed_at = Some(now));
+                directory.observe(&pool.endpoint, |view| view.not_leader_at = Some(now));
             }
             _ => {}
         }
@@ -577,17 +577,17 @@
         connection: MemberConnection,
         answers: &[StatementAnswer],
     ) {
-        let state = answers.last().map_or(BlockState::Failed, |answer| answer.state);
+        let state = answers.last().map_or(TransactionState::Failed, |answer| answer.state);
         let pinned = PinnedConnection { pool: pool.clone(), team: call.team.clone(), connection };
         // A refused statement may leave the transaction open, but its caller gives it up.
         let failed = answers.iter().any(|answer| answer.error.is_some());
         let kept = call.keeps && !failed && self.holder.is_open(origin);
         match state {
-            BlockState::Open if kept => {
+            TransactionState::Open if kept => {
                 self.holder.pinned.borrow_mut().insert((origin, call.channel), pinned);
             }
-            BlockState::Idle => self.rest(pinned),
-            BlockState::Open | BlockState::Failed => self.roll_back(pinned),
+            TransactionState::Idle => self.rest(pinned),
+            TransactionState::Open | TransactionState::Failed => self.roll_back(pinned),
         }
     }
 
@@ -606,7 +606,7 @@
             let rolled_back = async {
                 pinned.connection.send(&bytes).await.ok()?;
                 let answer = pinned.connection.read_answer::<E::Codec>().await.ok()?;
-                (answer.state == BlockState::Idle).then_some(())
+                (answer.state == TransactionState::Idle).then_some(())
             };
             match timeout(CLEANUP_TIMEOUT, rolled_back).await {
                 Ok(Some(())) => node.rest(pinned),
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coord::quota::LIMIT_PATIENCE;
+use coord::priority::PriorityLevel;
+use coord::quota::TOKEN_TIMEOUT;
 use coord::rendezvous;
-use coord::urgency::UrgencyLevel;
 use tokio::time::sleep;
 
 use crate::message::CountAnswer;
@@ -27,10 +27,10 @@
     pub async fn admit(
         self: &Rc<Self>,
         team: &str,
-        level: UrgencyLevel,
+        level: PriorityLevel,
         patience: Duration,
     ) -> Result<(), Duration> {
-        let patience = patience.min(LIMIT_PATIENCE);
+        let patience = patience.min(TOKEN_TIMEOUT);
         if self.directory.borrow().document().limit(team).is_none() {
             return Ok(());
         }
@@ -45,7 +45,7 @@
     }
 
     /// Counts an operation here, as the counter of its team.
-    pub fn count_here(&self, team: &str, level: UrgencyLevel, patience: Duration) -> CountAnswer {
+    pub fn count_here(&self, team: &str, level: PriorityLevel, patience: Duration) -> CountAnswer {
         let document = self.directory.borrow().document();
         let Some(limit) = document.limit(team) else {
             return CountAnswer::Admitted { after: Duration::ZERO };
@@ -69,7 +69,7 @@
         loop {
             let reached = self.peers.live().len() + 1;
             let registered = self.peers.registered();
-            self.counters.borrow_mut().observe(reached, registered, self.now());
+            self.counters.borrow_mut().record_reachable(reached, registered, self.now());
             sleep(OBSERVATION_PERIOD).await;
         }
     }
@@ -77,11 +77,11 @@
     async fn count(
         self: &Rc<Self>,
         team: &str,
-        level: UrgencyLevel,
+        level: PriorityLevel,
         patience: Duration,
     ) -> CountAnswer {
         let names = self.peers.staying(self.is_leaving());
-        let order = rendezvous::first(team, names.iter().map(String::as_str), ASKED_COUNTERS);
+        let order = rendezvous::top_ranked(team, names.iter().map(String::as_str), ASKED_COUNTERS);
         for name in order {
             if name == self.name() {
                 break;
--- a/crates/engine/src/link.rs
+++ b/crates/engine/src/link.rs
@@ -3,8 +3,8 @@
 use std::future::Future;
 use std::time::Duration;
 
-use coord::dialogue::{BlockState, StatementClass};
-use coord::takeover::MemberReport;
+use coord::promotion::MemberReport;
+use coord::session::{StatementClass, TransactionState};
 use snafu::Snafu;
 use state::position::LogPosition;
 
@@ -255,7 +255,7 @@
     /// The answer is complete.
     Ready {
         /// State of the connection.
-        state: BlockState,
+        state: TransactionState,
         /// Position that the endpoint's reads reach.
         position: Option<LogPosition>,
     },
@@ -295,7 +295,7 @@
     fn decode_status(content: &[u8]) -> Option<MemberReport>;
 
     /// Appends the end of an answer to a caller.
-    fn encode_ready(out: &mut Vec<u8>, state: BlockState);
+    fn encode_ready(out: &mut Vec<u8>, state: TransactionState);
 
     /// Appends a success that no member had a part in.
     fn encode_acknowledgement(out: &mut Vec<u8>);
--- a/crates/engine/src/member.rs
+++ b/crates/engine/src/member.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use coord::dialogue::BlockState;
+use coord::session::TransactionState;
 use snafu::Snafu;
 use state::position::LogPosition;
 use tokio::io::AsyncWriteExt;
@@ -125,7 +125,7 @@
 
     async fn read_startup<C: WireCodec>(
         &mut self,
-    ) -> Result<(BlockState, Option<LogPosition>), MemberError> {
+    ) -> Result<(TransactionState, Option<LogPosition>), MemberError> {
         loop {
             let Some(length) = self.input.line_length() else {
                 self.fill().await?;
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use bytes::{Buf, BytesMut};
-use coord::dialogue::BlockState;
-use coord::urgency::UrgencyLevel;
+use coord::priority::PriorityLevel;
+use coord::session::TransactionState;
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 use state::position::LogPosition;
@@ -49,7 +49,7 @@
     /// The connection stays with the transaction afterwards.
     pub keeps: bool,
     /// Urgency.
-    pub level: UrgencyLevel,
+    pub level: PriorityLevel,
     /// Longest wait before they start, in milliseconds.
     pub start_within_ms: u32,
     /// Longest time to the last answer, in milliseconds.
@@ -83,7 +83,7 @@
     pub error: Option<RefusalCode>,
     /// State of the connection afterwards.
     #[serde(with = "block_state")]
-    pub state: BlockState,
+    pub state: TransactionState,
     /// Position that the endpoint's reads reach.
     pub position: Option<LogPosition>,
 }
@@ -218,7 +218,7 @@
         /// Team.
         team: String,
         /// Urgency of the operation.
-        level: UrgencyLevel,
+        level: PriorityLevel,
         /// Longest wait for the next token, in milliseconds.
         patience_ms: u32,
     },
@@ -330,27 +330,27 @@
 mod block_state {
     //! Session state as a number.
 
-    use coord::dialogue::BlockState;
+    use coord::session::TransactionState;
     use serde::{Deserialize, Deserializer, Serializer};
 
     pub(super) fn serialize<S: Serializer>(
-        state: &BlockState,
+        state: &TransactionState,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
         serializer.serialize_u8(match state {
-            BlockState::Idle => 0,
-            BlockState::Open => 1,
-            BlockState::Failed => 2,
+            TransactionState::Idle => 0,
+            TransactionState::Open => 1,
+            TransactionState::Failed => 2,
         })
     }
 
     pub(super) fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
-    ) -> Result<BlockState, D::Error> {
+    ) -> Result<TransactionState, D::Error> {
         Ok(match u8::deserialize(deserializer)? {
-            0 => BlockState::Idle,
-            1 => BlockState::Open,
-            _ => BlockState::Failed,
+            0 => TransactionState::Idle,
+            1 => TransactionState::Open,
+            _ => TransactionState::Failed,
         })
     }
 }
--- a/crates/engine/src/node.rs
+++ b/crates/engine/src/node.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use clock::SharedClock;
-use coord::confirmation::{ConfirmationMachine, withdrawal_limit};
-use coord::quota::{LimitWindow, TeamCounters};
+use coord::quota::{LimitWindow, TeamQuotas};
+use coord::validation::{ValidationTracker, key_validation_ttl};
 use telemetry::event::LogEvent;
 use telemetry::log_event;
 use tokio::sync::Notify;
@@ -66,13 +66,13 @@
     /// Copies of the platform's tables.
     pub tables: RefCell<TableCopies>,
     /// Proofs that the document in force is the newest.
-    pub confirmation: RefCell<ConfirmationMachine>,
+    pub confirmation: RefCell<ValidationTracker>,
     /// Other instances.
     pub peers: PeerTable,
     /// Connections to endpoints.
     pub holder: ConnectionHolder,
     /// Team limits that this instance counts.
-    pub counters: RefCell<TeamCounters>,
+    pub counters: RefCell<TeamQuotas>,
     /// Wakes whoever tells other instances the status.
     pub announced: Notify,
     /// Open sessions of callers.
@@ -97,7 +97,7 @@
             peers: PeerTable::new(settings.record.clone()),
             directory: RefCell::new(directory),
             grace: Cell::new(settings.grace),
-            counters: RefCell::new(TeamCounters::new(settings.limit_window)),
+            counters: RefCell::new(TeamQuotas::new(settings.limit_window)),
             settings,
             clock,
             platform,
@@ -145,18 +145,18 @@
 
     /// Tells whether keys may be accepted: no withdrawal can have been missed for too long.
     pub fn is_document_confirmed(&self) -> bool {
-        !self.withdrawal_limit().is_some_and(|limit| self.proof_is_older(limit))
+        !self.key_validation_ttl().is_some_and(|limit| self.proof_is_older(limit))
     }
 
     /// Returns the age of a proof up to which keys may be accepted; none if keys need no proof.
-    pub fn withdrawal_limit(&self) -> Option<Duration> {
-        self.settings.withdrawal_bound.map(withdrawal_limit)
+    pub fn key_validation_ttl(&self) -> Option<Duration> {
+        self.settings.withdrawal_bound.map(key_validation_ttl)
     }
 
     /// Tells whether withdrawn keys must stop everywhere and the document was not proved for longer
     /// than `age`.
     pub fn proof_is_older(&self, age: Duration) -> bool {
-        let proof_age = self.confirmation.borrow().proof_age(self.now());
+        let proof_age = self.confirmation.borrow().validation_age(self.now());
         self.settings.withdrawal_bound.is_some() && proof_age.is_none_or(|proof| proof > age)
     }
 
@@ -165,7 +165,7 @@
         let [version, _] = self.tables.borrow().versions();
         let mut confirmation = self.confirmation.borrow_mut();
         confirmation.adopt(version);
-        confirmation.record_store(asked_at, version);
+        confirmation.record_store_version(asked_at, version);
     }
 
     /// Logs when the document stops or starts to be confirmed.
@@ -175,7 +175,7 @@
             return;
         }
         let version = self.directory.borrow().document().version;
-        let age = self.confirmation.borrow().proof_age(self.now());
+        let age = self.confirmation.borrow().validation_age(self.now());
         if confirmed {
             log_event!(LogEvent::DocumentConfirmed, "version={version} proof_age={age:?}");
         } else {
--- a/crates/engine/src/operation.rs
+++ b/crates/engine/src/operation.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use coord::dialogue::{ForwardPlan, SessionDialogue};
-use coord::marks::MarkRing;
+use coord::session::{ForwardPlan, SessionMachine};
+use coord::watermark::WatermarkRing;
 use metrics::counter;
 use state::position::LogPosition;
 use telemetry::event::LogEvent;
@@ -56,7 +56,7 @@
     /// Text as sent.
     pub text: &'a str,
     /// State of the session.
-    pub dialogue: &'a SessionDialogue,
+    pub dialogue: &'a SessionMachine,
     /// Number of the session.
     pub session: u64,
     /// Settings that the connection of the open transaction lacks.
@@ -232,10 +232,10 @@
             let marks = directory.marks(service)?;
             let mark = marks.oldest_within(context.plan.began_at, stated_age)?;
             let own = match context.route.consistency {
-                RouteConsistency::OwnWrites { .. } => context.dialogue.own_commit(),
+                RouteConsistency::OwnWrites { .. } => context.dialogue.last_commit(),
                 _ => None,
             };
-            Some(MarkRing::needed_position(mark, own))
+            Some(WatermarkRing::required_position(mark, own))
         });
         let zone = &self.settings.record.zone;
         let order = directory.order_for_read(service, zone, needed, now);
@@ -299,7 +299,7 @@
         let mut setup_bytes = Vec::new();
         let mut setup_count = 1;
         E::Codec::encode_control(&mut setup_bytes, ControlStatement::Reset);
-        for text in context.dialogue.setup_texts() {
+        for text in context.dialogue.setup_statements() {
             E::Codec::encode_control(&mut setup_bytes, ControlStatement::Setup(text));
             setup_count += 1;
         }
@@ -360,7 +360,7 @@
     let statement = |bytes: &mut Vec<u8>, after| {
         C::encode_statement(bytes, context.id, after, context.text);
     };
-    if plan.opens {
+    if plan.opens_transaction {
         // Only a leader accepts the plain form, so it proves the lead for the whole transaction.
         let begin = if leads { ControlStatement::Begin } else { ControlStatement::BeginRead };
         C::encode_control(&mut shape.opening, begin);
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use coord::confirmation::PeerWord;
-use coord::placement::{HolderCandidate, order_holders};
+use coord::placement::{OwnerCandidate, order_owners};
+use coord::validation::HeartbeatOutcome;
 use telemetry::event::LogEvent;
 use telemetry::log_event;
 use tokio::io::AsyncReadExt;
@@ -79,11 +79,11 @@
         let names = self.staying(leaving);
         let links = self.links.borrow();
         let zone_of = |name: &str| links.get(name).map_or(&self.own.zone, |link| &link.record.zone);
-        let candidates: Vec<HolderCandidate<'_>> = names
+        let candidates: Vec<OwnerCandidate<'_>> = names
             .iter()
-            .map(|name| HolderCandidate { name, near: zone_of(name) == zone })
+            .map(|name| OwnerCandidate { name, same_zone: zone_of(name) == zone })
             .collect();
-        order_holders(endpoint, &candidates).into_iter().map(str::to_owned).collect()
+        order_owners(endpoint, &candidates).into_iter().map(str::to_owned).collect()
     }
 }
 
@@ -177,7 +177,7 @@
             sleep(PING_TICK).await;
             let now = self.now();
             let needs_proof =
-                self.withdrawal_limit().is_some_and(|limit| self.proof_is_older(limit / 2));
+                self.key_validation_ttl().is_some_and(|limit| self.proof_is_older(limit / 2));
             let links: Vec<Rc<PeerLink>> = self.peers.links.borrow().values().cloned().collect();
             for link in links {
                 let Some(output) = link.connection.borrow().clone() else {
@@ -258,9 +258,9 @@
         let [version, _] = self.tables.borrow().versions();
         let mut confirmation = self.confirmation.borrow_mut();
         confirmation.adopt(version);
-        let word = PeerWord::Answered {
+        let word = HeartbeatOutcome::Answered {
             version: proof.version,
-            proof_age: Some(Duration::from_millis(proof.age_ms.into())),
+            validation_age: Some(Duration::from_millis(proof.age_ms.into())),
             store_down: false,
         };
         confirmation.record_peer(number.into(), asked_at, word);
@@ -270,7 +270,7 @@
     fn document_proof(&self) -> Option<DocumentProof> {
         self.settings.withdrawal_bound?;
         let confirmation = self.confirmation.borrow();
-        let age = confirmation.proof_age(self.now())?;
+        let age = confirmation.validation_age(self.now())?;
         Some(DocumentProof { version: confirmation.version(), age_ms: millis(age) + 1 })
     }
 
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use clock::SharedClock;
-use coord::urgency::{UrgencyLevel, UrgencyQueue};
+use coord::priority::{PriorityLevel, PriorityQueue};
 use telemetry::event::LogEvent;
 use telemetry::log_event;
 use tokio::sync::{Notify, oneshot};
@@ -41,7 +41,7 @@
     pub(crate) service: String,
     pub(crate) address: SocketAddr,
     pub(crate) born_ms: u64,
-    pub(crate) queue: RefCell<UrgencyQueue<u64, PermitSender>>,
+    pub(crate) queue: RefCell<PriorityQueue<u64, PermitSender>>,
     pub(crate) idle: RefCell<Vec<IdleConnection>>,
     pub(crate) open: Cell<usize>,
     pub(crate) limit: Cell<usize>,
@@ -57,7 +57,7 @@
 pub(crate) struct RunPermit {
     pub(crate) pool: Rc<EndpointPool>,
     pub(crate) clock: SharedClock,
-    pub(crate) level: UrgencyLevel,
+    pub(crate) level: PriorityLevel,
     pub(crate) team: u64,
     pub(crate) taken_at: Instant,
 }
--- a/crates/engine/src/record.rs
+++ b/crates/engine/src/record.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use coord::priority::PriorityLevel;
 use coord::quota::TeamLimit;
-use coord::urgency::UrgencyLevel;
 use serde::{Deserialize, Serialize};
 
 /// How reads of a route are kept consistent.
@@ -44,7 +44,7 @@
     /// How reads are kept consistent.
     pub consistency: RouteConsistency,
     /// Urgency, zero first.
-    pub level: UrgencyLevel,
+    pub level: PriorityLevel,
     /// Time that one statement may take.
     pub statement_timeout: Duration,
     /// Time in which callers want an operation answered.
--- a/crates/engine/src/steward.rs
+++ b/crates/engine/src/steward.rs
@@ -5,8 +5,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+use coord::promotion::{
+    LEADER_GRACE_PERIOD, MemberObservation, MemberReport, PromotionDecision, PromotionMachine,
+};
 use coord::rendezvous;
-use coord::takeover::{FAILING_TIME, MemberOutlook, MemberReport, TakeoverMachine, TakeoverStep};
 use metrics::counter;
 use telemetry::event::LogEvent;
 use telemetry::{log_event, meter};
@@ -56,7 +58,7 @@
     pub async fn serve_duty(self: Rc<Self>) {
         let held = Rc::new(RefCell::new(HeldLease::default()));
         let mut vacant_since = None;
-        let mut machines: HashMap<String, Rc<RefCell<TakeoverMachine>>> = HashMap::new();
+        let mut machines: HashMap<String, Rc<RefCell<PromotionMachine>>> = HashMap::new();
         loop {
             sleep(TICK).await;
             if self.is_leaving() {
@@ -221,7 +223,7 @@
     }
 
     /// Tells whether a service's leader is lost or leaves, as far as anybody noticed.
-    fn is_suspect(&self, service: &str, machine: &RefCell<TakeoverMachine>) -> bool {
+    fn is_suspect(&self, service: &str, machine: &RefCell<PromotionMachine>) -> bool {
         let now = self.now();
         let directory = self.directory.borrow();
         if directory.members(service).is_empty() {
@@ -231,20 +233,21 @@
             None => true,
             Some(leader) => {
                 let stays = directory.endpoint(&leader).is_some_and(|entry| entry.stays());
-                let failing = |since: Instant| now.saturating_duration_since(since) >= FAILING_TIME;
+                let failing =
+                    |since: Instant| now.saturating_duration_since(since) >= LEADER_GRACE_PERIOD;
                 !stays
                     || self.holder.failing_since(&leader).is_some_and(failing)
                     || self.peers.live().iter().any(|peer| peer.status().failing.contains(&leader))
             }
         };
-        machine.borrow().wants_probe(suspected, now)
+        machine.borrow().needs_probe(suspected, now)
     }
 
     /// Probes the members of a service and replaces its leader if it is lost or leaves.
     async fn weigh_takeover(
         self: &Rc<Self>,
         service: &str,
-        machine: &RefCell<TakeoverMachine>,
+        machine: &RefCell<PromotionMachine>,
         held: &RefCell<HeldLease>,
     ) {
         let (leader, members, synchronous) = {
@@ -267,7 +270,7 @@
         let leader = leading.or(leader);
         let place = leader.as_ref().and_then(|name| members.iter().position(|other| other == name));
         let answered = place.is_some_and(|index| reports[index].is_some());
-        machine.borrow_mut().note_round(answered || witnessed, now);
+        machine.borrow_mut().record_probe_round(answered || witnessed, now);
         let step = {
             let directory = self.directory.borrow();
             let outlook = |(name, report): (&String, &Option<MemberReport>)| {
@@ -275,19 +278,23 @@
                 (name.clone(), stays, *report)
             };
             let outlooks: Vec<_> = members.iter().zip(&reports).map(outlook).collect();
-            let borrowed: Vec<MemberOutlook<'_>> = outlooks
+            let borrowed: Vec<MemberObservation<'_>> = outlooks
                 .iter()
-                .map(|(name, stays, report)| MemberOutlook { name, stays: *stays, report: *report })
+                .map(|(name, stays, report)| MemberObservation {
+                    name,
+                    is_active: *stays,
+                    report: *report,
+                })
                 .collect();
-            machine.borrow().weigh(place, &borrowed, synchronous)
+            machine.borrow().decide(place, &borrowed, synchronous)
         };
-        if let TakeoverStep::Promote(index, cause) = step {
+        if let PromotionDecision::Promote(index, cause) = step {
             let (name, was) = (&members[index], leader.as_deref().unwrap_or("none"));
             log_event!(
                 LogEvent::PromotionStarted,
                 "service={service} endpoint={name} cause={cause:?} was={was} reports={reports:?}"
             );
-            machine.borrow_mut().note_call(now);
+            machine.borrow_mut().record_promotion(now);
             if self.call_promotion(service, name, held).await {
                 self.await_leader(name).await;
             }
--- a/crates/lab/tests/limits.rs
+++ b/crates/lab/tests/limits.rs
@@ -27,7 +27,7 @@
     gives_no_new_work_to_a_leaving_database(2);
 }
 
-const WHOLE: u64 = coord::ledger::WHOLE;
+const WHOLE: u64 = coord::ledger::FULL_SHARE;
 
 /// Changes the document in force.
 async fn change(environment: &LabEnvironment, edit: impl FnOnce(&mut Document)) -> u64 {
--- a/crates/load/src/capacity.rs
+++ b/crates/load/src/capacity.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use coord::failover::{FailoverEvent, FailoverMachine};
-use coord::ledger::{MovedTotals, ShareLedger, WHOLE};
+use coord::ledger::{FULL_SHARE, ShareLedger, TransferTotals};
 use lab::environment::{LabEnvironment, LabOptions};
 use lab::profile::{DeploymentProfile, ProfileName};
 use prost::Message as _;
@@ -157,12 +157,12 @@
     let keys: Vec<TeamKey> = (0..teams).map(|_| keys.insert(())).collect();
     let mut ledger = ShareLedger::default();
     ledger.enter_epoch(1);
-    keys.iter().for_each(|key| ledger.issue(*key, WHOLE / 2));
+    keys.iter().for_each(|key| ledger.issue(*key, FULL_SHARE / 2));
     repeat(time, |round| {
         for key in &keys {
-            let totals = MovedTotals { share: round % 1_000, tokens: 0.0 };
-            ledger.take(*key, 7, 1, totals);
-            ledger.acknowledge(*key, 7, 1, round);
+            let totals = TransferTotals { share: round % 1_000, tokens: 0.0 };
+            ledger.receive_grant(*key, 7, 1, totals);
+            ledger.record_acknowledgement(*key, 7, 1, round);
             ledger.set_demand(*key, 0.1);
         }
         assert!(ledger.unacknowledged(7).is_empty());
@@ -172,11 +172,11 @@
 fn beat_bytes(teams: usize) -> f64 {
     let share = |number: usize| TeamShare {
         team: format!("team-{number}"),
-        share: WHOLE / 9,
+        share: FULL_SHARE / 9,
         demand: 0.123,
         given_share: 0,
         given_tokens: 0.0,
-        taken_share: WHOLE / 10,
+        taken_share: FULL_SHARE / 10,
     };
     let summary = InstanceSummary {
         instance: "entry-1234".to_owned(),
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -186,7 +186,7 @@
         let now = Instant::now();
         let receiver = {
             let mut state = self.shared.state.lock();
-            if state.queue.try_take(team, now) {
+            if state.queue.try_acquire(team, now) {
                 drop(state);
                 return Ok(PoolPermit { pool: self.shared.clone(), team, since: now });
             }
@@ -194,8 +194,8 @@
             match state.queue.push(team, sender, deadline, now) {
                 Ok(()) => receiver,
                 Err(QueueRefusal::Full) => return FullSnafu.fail(),
-                Err(QueueRefusal::Late { expected }) => {
-                    return LateSnafu { retry_after: expected }.fail();
+                Err(QueueRefusal::DeadlineExceeded { expected_wait }) => {
+                    return LateSnafu { retry_after: expected_wait }.fail();
                 }
             }
         };
--- a/crates/proxy/src/allotment.rs
+++ b/crates/proxy/src/allotment.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use coord::ledger::{self, Incarnation, MovedTotals, ShareLedger, WHOLE};
+use coord::ledger::{self, FULL_SHARE, Incarnation, ShareLedger, TransferTotals};
 use parking_lot::Mutex;
 use slotmap::SecondaryMap;
 use state::catalog::{DocumentCatalog, TeamEntry, TeamKey};
@@ -32,7 +32,7 @@
 impl LimitedTeam<'_> {
     /// Brings the bucket in line with the share held.
     fn resize(&self, ledger: &ShareLedger, now: Instant) {
-        let part = ledger.share(self.key) as f64 / WHOLE as f64;
+        let part = ledger.share(self.key) as f64 / FULL_SHARE as f64;
         let (rate, burst) = (self.entry.rate * part, self.entry.burst * part);
         self.limiter.update(self.key, now, |bucket| bucket.resize(rate, burst, now));
     }
@@ -45,17 +45,17 @@
         taker: Incarnation,
         part: u64,
         now: Instant,
-    ) -> MovedTotals {
+    ) -> TransferTotals {
         let own = ledger.share(self.key);
         let part = part.min(own);
         if part == 0 {
-            return ledger.give(self.key, taker, 0, 0.0);
+            return ledger.grant(self.key, taker, 0, 0.0);
         }
         let tokens = self.limiter.update(self.key, now, |bucket| {
             let moved = bucket.available(now) * part as f64 / own as f64;
             bucket.withdraw(moved, now)
         });
-        let totals = ledger.give(self.key, taker, part, tokens);
+        let totals = ledger.grant(self.key, taker, part, tokens);
         self.resize(ledger, now);
         totals
     }
@@ -147,14 +147,14 @@
     pub fn ask_terms(&self, team: TeamKey) -> (u64, f64) {
         let ledger = self.ledger.lock();
         let share = ledger.share(team);
-        let held = share as f64 / WHOLE as f64;
+        let held = share as f64 / FULL_SHARE as f64;
         (share, ledger.demand(team).max(2.0 * held).max(SHORT_DEMAND))
     }
 
     /// Returns the parts that asking a peer is expected to bring.
     pub fn expected_gift(&self, team: TeamKey, peer_share: u64, peer_demand: f64) -> u64 {
         let (share, demand) = self.ask_terms(team);
-        ledger::fair_part(peer_share, peer_demand, share, demand)
+        ledger::fair_grant(peer_share, peer_demand, share, demand)
     }
 
     /// Gives a peer its part of a team's share and returns the totals to send.
@@ -165,9 +165,9 @@
         taker_share: u64,
         taker_demand: f64,
         now: Instant,
-    ) -> MovedTotals {
+    ) -> TransferTotals {
         let mut ledger = self.ledger.lock();
-        let part = ledger.plan_gift(team.key, taker_share, taker_demand);
+        let part = ledger.plan_grant(team.key, taker_share, taker_demand);
         team.move_part(&mut ledger, taker, part, now)
     }
 
@@ -192,11 +192,11 @@
         team: LimitedTeam<'_>,
         giver: Incarnation,
         epoch: u64,
-        totals: MovedTotals,
+        totals: TransferTotals,
         now: Instant,
     ) {
         let mut ledger = self.ledger.lock();
-        let Some(grant) = ledger.take(team.key, giver, epoch, totals) else {
+        let Some(grant) = ledger.receive_grant(team.key, giver, epoch, totals) else {
             return;
         };
         team.resize(&ledger, now);
@@ -207,7 +207,7 @@
 
     /// Records what a peer has taken from this instance.
     pub fn acknowledge(&self, key: TeamKey, taker: Incarnation, epoch: u64, share: u64) {
-        self.ledger.lock().acknowledge(key, taker, epoch, share);
+        self.ledger.lock().record_acknowledgement(key, taker, epoch, share);
     }
 
     /// Returns the shares to tell a peer, with what it has not acknowledged.
@@ -225,7 +225,7 @@
         let mut shares = Vec::new();
         for (key, team) in catalog.teams() {
             let given = totals(key);
-            let taken_share = peer.map_or(0, |peer| ledger.taken_from(key, peer));
+            let taken_share = peer.map_or(0, |peer| ledger.received_from(key, peer));
             let (share, demand) = (ledger.share(key), ledger.demand(key));
             if share > 0 || demand > 0.0 || given.share > 0 || taken_share > 0 {
                 shares.push(TeamShare {
@@ -260,7 +260,7 @@
 
     /// Records that the issuer counted the report of an epoch; false about another epoch.
     pub fn confirm_epoch(&self, epoch: u64) -> bool {
-        self.ledger.lock().confirm_epoch(epoch)
+        self.ledger.lock().mark_epoch_counted(epoch)
     }
 
     /// Tells whether the shares were reported and may not have been counted.
@@ -285,7 +285,7 @@
 
     /// Claims the right to issue what nobody reported in an epoch, at most once.
     pub fn claim_issue(&self, epoch: u64) -> bool {
-        let claimed = self.ledger.lock().claim_issue(epoch);
+        let claimed = self.ledger.lock().claim_issuance(epoch);
         if claimed {
             *self.issued.lock() = IssuedTeams { epoch, names: HashSet::new() };
         }
@@ -317,7 +317,7 @@
             catalog.teams().filter(|(_, team)| own && is_new(team)).collect()
         };
         for (key, entry) in new {
-            self.issue(LimitedTeam { limiter, key, entry }, WHOLE, 0.0, now);
+            self.issue(LimitedTeam { limiter, key, entry }, FULL_SHARE, 0.0, now);
         }
     }
 
--- a/crates/proxy/src/beat.rs
+++ b/crates/proxy/src/beat.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use coord::confirmation::PeerWord;
-use coord::ledger::{Incarnation, MovedTotals};
+use coord::ledger::{Incarnation, TransferTotals};
+use coord::validation::HeartbeatOutcome;
 use metrics::counter;
 use net::peer::is_refused;
 use net::platform::InstanceList as _;
@@ -61,8 +61,8 @@
 async fn round(instance: &Arc<ProxyInstance>) {
     let started_at = instance.now();
     instance.update_proofs(|proofs| {
-        proofs.document.start_round(started_at);
-        proofs.epoch.start_round(started_at);
+        proofs.document.start_heartbeat_round(started_at);
+        proofs.epoch.start_heartbeat_round(started_at);
     });
     let peers = instance.peers.all();
     let mut beats = JoinSet::new();
@@ -75,8 +75,8 @@
     // Before the platform's list was read nobody knows whom to ask.
     let listed = if instance.is_listed() { peers.len() } else { usize::MAX };
     instance.update_proofs(|proofs| {
-        proofs.document.end_round(listed, now);
-        proofs.epoch.end_round(listed, now);
+        proofs.document.end_heartbeat_round(listed, now);
+        proofs.epoch.end_heartbeat_round(listed, now);
     });
     if !instance.is_ready() && knows_enough(instance, now) {
         instance.note_ready();
@@ -116,13 +116,13 @@
             }
         }
         Ok(Err(status)) if is_refused(&status) => {
-            record_word(instance, id, asked_at, PeerWord::Refused);
+            record_word(instance, id, asked_at, HeartbeatOutcome::Refused);
         }
-        _ => record_word(instance, id, asked_at, PeerWord::Silent),
+        _ => record_word(instance, id, asked_at, HeartbeatOutcome::Unanswered),
     }
 }
 
-fn record_word(instance: &ProxyInstance, id: u64, asked_at: Instant, word: PeerWord) {
+fn record_word(instance: &ProxyInstance, id: u64, asked_at: Instant, word: HeartbeatOutcome) {
     instance.update_proofs(|proofs| {
         proofs.document.record_peer(id, asked_at, word);
         proofs.epoch.record_peer(id, asked_at, word);
@@ -130,9 +130,9 @@
 }
 
 fn record_words(instance: &ProxyInstance, id: u64, asked_at: Instant, summary: &InstanceSummary) {
-    let word = |version, age: Option<u64>| PeerWord::Answered {
+    let word = |version, age: Option<u64>| HeartbeatOutcome::Answered {
         version,
-        proof_age: age.map(Duration::from_millis),
+        validation_age: age.map(Duration::from_millis),
         store_down: summary.store_down,
     };
     let document = word(summary.revision, summary.revision_proof_age_ms);
@@ -219,7 +219,7 @@
         }
         instance.book.acknowledge(key, incarnation, epoch, share.taken_share);
         if share.given_share > 0 {
-            let totals = MovedTotals { share: share.given_share, tokens: share.given_tokens };
+            let totals = TransferTotals { share: share.given_share, tokens: share.given_tokens };
             let team = LimitedTeam { limiter: &instance.limiter, key, entry };
             instance.book.take(team, incarnation, epoch, totals, now);
         }
@@ -235,8 +235,9 @@
     let (revision_age, epoch_age, store_down) = instance.update_proofs(|proofs| {
         let document = &proofs.document;
         // A provisional epoch has no proof of its own yet.
-        let epoch_age = proofs.epoch.proof_age(now).filter(|_| proofs.epoch.version() == epoch);
-        (document.proof_age(now), epoch_age, document.is_store_down(now))
+        let epoch_age =
+            proofs.epoch.validation_age(now).filter(|_| proofs.epoch.version() == epoch);
+        (document.validation_age(now), epoch_age, document.is_store_down(now))
     });
     InstanceSummary {
         instance: instance.settings.instance.clone(),
--- a/crates/proxy/src/census.rs
+++ b/crates/proxy/src/census.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use coord::confirmation::CONFIRMATION_LIMIT;
-use coord::ledger::{Incarnation, WHOLE};
+use coord::ledger::{FULL_SHARE, Incarnation};
 use coord::rendezvous;
+use coord::validation::VALIDATION_TTL;
 use net::store::{DocumentStore, LedgerEpoch};
 use telemetry::event::LogEvent;
 use telemetry::log_event;
@@ -142,7 +142,7 @@
     instance.book.confirm_epoch(epoch.number);
     instance.update_proofs(|proofs| {
         proofs.epoch.adopt(epoch.number);
-        proofs.epoch.record_store(started_at, epoch.number);
+        proofs.epoch.record_store_version(started_at, epoch.number);
     });
     let mut held: BTreeMap<String, u64> = BTreeMap::new();
     let mut add = |reply: CensusReply| {
@@ -160,7 +160,7 @@
     let now = instance.now();
     for (key, entry) in catalog.teams() {
         let known = held.get(&*entry.name).copied().unwrap_or_default();
-        let missing = WHOLE.saturating_sub(known);
+        let missing = FULL_SHARE.saturating_sub(known);
         // Nothing was admitted before the first epoch, so its buckets may start full.
         let tokens = if epoch.number == 1 { entry.burst } else { 0.0 };
         let team = LimitedTeam { limiter: &instance.limiter, key, entry };
@@ -179,7 +179,7 @@
     // Nobody holds anything before the first epoch, so there is nothing to wait for.
     let end = match epoch {
         1 => started_at,
-        _ => started_at + CONFIRMATION_LIMIT + DRIFT_MARGIN,
+        _ => started_at + VALIDATION_TTL + DRIFT_MARGIN,
     };
     loop {
         let mut questions = JoinSet::new();
--- a/crates/proxy/src/database.rs
+++ b/crates/proxy/src/database.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use coord::freshness::FreshnessTracker;
-use coord::routing::{self, MemberView, ReadNeeds, RouteTarget};
+use coord::routing::{self, MemberView, ReadRequirements, RouteTarget};
 use net::member::{MemberConnection, MemberError, MemberTarget};
 use net::pool::MemberPool;
 use parking_lot::Mutex;
@@ -96,9 +96,9 @@
             MemberView {
                 position: record.status.map_or(UNKNOWN_POSITION, |status| status.position),
                 reachable: record.reachable,
-                complete_at: freshness.complete_at(index),
+                fresh_as_of: freshness.fresh_as_of(index),
                 load: member.pool.load(),
-                near: member.near,
+                same_zone: member.near,
             }
         };
         self.members.iter().enumerate().map(view).collect()
@@ -110,7 +110,11 @@
     }
 
     /// Picks the member for a read, with the view on which the choice rests.
-    pub fn route_read(&self, needs: &ReadNeeds, now: Instant) -> (RouteTarget, Vec<MemberView>) {
+    pub fn route_read(
+        &self,
+        needs: &ReadRequirements,
+        now: Instant,
+    ) -> (RouteTarget, Vec<MemberView>) {
         let views = self.views();
         (routing::route_read(&views, needs, now), views)
     }
@@ -211,7 +215,7 @@
 
     /// Returns the greatest age of a member's data, for status reports.
     pub fn age(&self, index: usize, now: Instant) -> Option<Duration> {
-        self.freshness.lock().age(index, now)
+        self.freshness.lock().staleness_bound(index, now)
     }
 
     fn publish(&self, before: Option<(usize, u64)>) {
--- a/crates/proxy/src/document.rs
+++ b/crates/proxy/src/document.rs
@@ -52,7 +52,8 @@
 fn is_poller(instance: &ProxyInstance) -> bool {
     let now = instance.now();
     let age = instance.update_proofs(|proofs| {
-        let (document, epoch) = (proofs.document.proof_age(now), proofs.epoch.proof_age(now));
+        let (document, epoch) =
+            (proofs.document.validation_age(now), proofs.epoch.validation_age(now));
         document.zip(epoch).map(|(document, epoch)| document.max(epoch))
     });
     if age.is_none_or(|age| age > PROOF_PATIENCE) {
@@ -89,8 +90,8 @@
         install(instance, head, text);
     }
     instance.update_proofs(|proofs| {
-        proofs.document.record_store(asked_at, revision);
-        proofs.epoch.record_store(asked_at, epoch);
+        proofs.document.record_store_version(asked_at, revision);
+        proofs.epoch.record_store_version(asked_at, epoch);
     });
     Ok(())
 }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use clock::SharedClock;
-use coord::confirmation::ConfirmationMachine;
+use coord::validation::ValidationTracker;
 use metrics::gauge;
 use net::platform::{PlatformClient, PlatformError};
 use net::store::{LedgerEpoch, StoredDocument};
@@ -77,9 +77,9 @@
 #[derive(Debug, Default)]
 pub struct InstanceProofs {
     /// Proof of the document's revision.
-    pub document: ConfirmationMachine,
+    pub document: ValidationTracker,
     /// Proof of the ledger's epoch.
-    pub epoch: ConfirmationMachine,
+    pub epoch: ValidationTracker,
 }
 
 /// Epoch as the table service last named it.
@@ -222,7 +222,7 @@
     pub fn update_proofs<T>(&self, operation: impl FnOnce(&mut InstanceProofs) -> T) -> T {
         let mut proofs = self.proofs.lock();
         let result = operation(&mut proofs);
-        let millis = |machine: &ConfirmationMachine| {
+        let millis = |machine: &ValidationTracker| {
             let until = machine.valid_until().filter(|_| machine.version() > 0);
             let after = until.map(|until| until.saturating_duration_since(self.started_at));
             after.map_or(0, |after| after.as_millis() as u64)
--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use coord::routing::{ReadNeeds, RouteTarget};
+use coord::routing::{ReadRequirements, RouteTarget};
 use net::member::MemberError;
 use net::pool::{PoolError, PooledConnection};
 use state::position::LogPosition;
@@ -252,7 +252,11 @@
             changes.borrow_and_update();
             let now = self.instance.now();
             let target = if request.class.kind == StatementKind::Read && request.synced {
-                let needs = ReadNeeds { stated_age, seen, began_at: self.began_at };
+                let needs = ReadRequirements {
+                    max_staleness: stated_age,
+                    min_position: seen,
+                    began_at: self.began_at,
+                };
                 let (target, views) = self.database.route_read(&needs, now);
                 if let RouteTarget::Replica(member) = target {
                     // Without a token the answer must at least reach what the choice rests on.
--- a/crates/proxy/src/share.rs
+++ b/crates/proxy/src/share.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coord::ledger::MovedTotals;
+use coord::ledger::TransferTotals;
 use metrics::counter;
 use state::catalog::TeamKey;
 use telemetry::meter;
@@ -84,7 +84,7 @@
     let reply = reply.into_inner();
     let left = PeerShare { share: reply.left_share, demand: reply.demand };
     instance.peers.record_shares(&peer.name, [(team, left)]);
-    let totals = MovedTotals { share: reply.given_share, tokens: reply.given_tokens };
+    let totals = TransferTotals { share: reply.given_share, tokens: reply.given_tokens };
     let (giver, epoch) = (reply.incarnation, reply.epoch);
     let team = LimitedTeam { limiter: &instance.limiter, key: team, entry };
     instance.book.take(team, giver, epoch, totals, instance.now());
--- a/crates/proxy/src/steward.rs
+++ b/crates/proxy/src/steward.rs
@@ -76,7 +76,7 @@
         for index in 0..self.database.members.len() {
             let record = self.database.members[index].record();
             if !record.reachable {
-                self.handle(FailoverEvent::Lost(index));
+                self.handle(FailoverEvent::Unreachable(index));
             } else if self.told[index] != Some(record.answered_at) {
                 self.told[index] = Some(record.answered_at);
                 if let Some(status) = record.status {
@@ -106,7 +106,7 @@
     }
 
     fn note_progress(&self, event: &FailoverEvent) {
-        if let FailoverEvent::Promoted(index, term, Some(status)) = event {
+        if let FailoverEvent::PromotionAnswered(index, term, Some(status)) = event {
             let member = &self.database.members[*index].name;
             counter!(meter::PROMOTIONS, "outcome" => "finished").increment(1);
             log_event!(
@@ -120,15 +120,15 @@
 
     fn carry_out(&self, effect: FailoverEffect) {
         match effect {
-            FailoverEffect::AskWitnesses(member) => self.ask_witnesses(member),
+            FailoverEffect::ProbeIndirectly(member) => self.ask_witnesses(member),
             FailoverEffect::Fence(member, term) => {
                 self.command(member, GroupCommand::Fence(term), move |answer| {
-                    Some(FailoverEvent::Fenced(member, term, answer))
+                    Some(FailoverEvent::FenceAnswered(member, term, answer))
                 });
             }
             FailoverEffect::Promote(member, term) => {
                 self.command(member, GroupCommand::Promote(term), move |answer| {
-                    Some(FailoverEvent::Promoted(member, term, answer))
+                    Some(FailoverEvent::PromotionAnswered(member, term, answer))
                 });
             }
             FailoverEffect::Follow { member, term, primary } => {
@@ -142,7 +142,7 @@
                 let command = GroupCommand::Follow { term, primary: name };
                 self.command(member, command, |_| None);
             }
-            FailoverEffect::Record { term, primary } => self.record(term, primary),
+            FailoverEffect::RecordPromotion { term, primary } => self.record(term, primary),
         }
     }
 
@@ -200,7 +200,11 @@
                 replies.map(tonic::Response::into_inner).filter(|reply| reply.known).collect();
             let in_favour = known.iter().filter(|reply| reply.reachable).count();
             let against = known.len() - in_favour;
-            let event = FailoverEvent::Witnessed { member, against, in_favour };
+            let event = FailoverEvent::ProbedIndirectly {
+                member,
+                unreachable_zones: against,
+                reachable_zones: in_favour,
+            };
             let _ = sender.send(event).await;
         });
     }
