--- a/crates/coord/src/ledger.rs
+++ b/crates/coord/src/ledger.rs
@@ -16,14 +16,14 @@
 /// The whole of a team's rate and burst, in parts.
 pub const FULL_SHARE: u64 = 1_000_000;
 /// Demand below which an instance still keeps a share, as a part of the whole.
-const FLOOR_DEMAND: f64 = 0.005;
+const MIN_DEMAND: f64 = 0.005;
 /// Smallest part that is worth moving.
-const SMALLEST_MOVE: u64 = FULL_SHARE / 1_000;
+const MIN_TRANSFER: u64 = FULL_SHARE / 1_000;
 /// Part of its headroom that a giver keeps.
-const KEPT_HEADROOM: f64 = 1.05;
+const DONOR_HEADROOM: f64 = 1.05;
 
 /// Share that a taker gets at most, as a multiple of its stated demand.
-const NEEDED_HEADROOM: f64 = 1.5;
+const RECIPIENT_HEADROOM: f64 = 1.5;
 
 /// Number drawn by an instance when it starts.
 pub type Incarnation = u64;
@@ -51,8 +51,8 @@
 struct ShareAccount {
     /// Parts issued to this instance in the current epoch.
     issued: u64,
-    given: HashMap<Incarnation, TransferTotals>,
-    taken: HashMap<Incarnation, TransferTotals>,
+    granted: HashMap<Incarnation, TransferTotals>,
+    received: HashMap<Incarnation, TransferTotals>,
     acknowledged: HashMap<Incarnation, u64>,
     /// Statements a second that callers ask for, as a part of the team's rate.
     demand: f64,
@@ -60,9 +60,9 @@
 
 impl ShareAccount {
     fn share(&self) -> u64 {
-        let taken: u64 = self.taken.values().map(|totals| totals.share).sum();
-        let given: u64 = self.given.values().map(|totals| totals.share).sum();
-        (self.issued + taken).saturating_sub(given)
+        let received: u64 = self.received.values().map(|totals| totals.share).sum();
+        let granted: u64 = self.granted.values().map(|totals| totals.share).sum();
+        (self.issued + received).saturating_sub(granted)
     }
 }
 
@@ -117,7 +117,7 @@
                 self.drop_shares();
             }
             self.epoch = epoch;
-            self.reported = self.fold();
+            self.reported = self.consolidate();
             self.provisional = true;
         }
         Some(&self.reported)
@@ -125,11 +125,11 @@
 
     /// Records that the issuer counted the report of this epoch.
     pub fn mark_epoch_counted(&mut self, epoch: u64) -> bool {
-        let own = epoch == self.epoch;
-        if own {
+        let is_current = epoch == self.epoch;
+        if is_current {
             self.provisional = false;
         }
-        own
+        is_current
     }
 
     /// Tells whether the shares were reported and may not have been counted.
@@ -171,11 +171,11 @@
 
     /// Returns the parts that a taker gets when it asks: afterwards giver and taker have about the
     /// same ratio of share to demand.
-    pub fn plan_grant(&self, team: TeamKey, taker_share: u64, taker_demand: f64) -> u64 {
+    pub fn plan_grant(&self, team: TeamKey, recipient_share: u64, recipient_demand: f64) -> u64 {
         let Some(account) = self.accounts.get(team).filter(|_| !self.provisional) else {
             return 0;
         };
-        fair_grant(account.share(), account.demand, taker_share, taker_demand)
+        fair_grant(account.share(), account.demand, recipient_share, recipient_demand)
     }
 
     /// Moves parts and the tokens taken from the bucket for them, and returns the totals to send.
@@ -184,16 +184,16 @@
     pub fn grant(
         &mut self,
         team: TeamKey,
-        taker: Incarnation,
-        part: u64,
+        recipient: Incarnation,
+        amount: u64,
         tokens: f64,
     ) -> TransferTotals {
-        let part = if self.provisional { 0 } else { part };
+        let amount = if self.provisional { 0 } else { amount };
         let account = self.account(team);
-        let part = part.min(account.share());
-        let totals = account.given.entry(taker).or_default();
-        if part > 0 {
-            totals.share += part;
+        let amount = amount.min(account.share());
+        let totals = account.granted.entry(recipient).or_default();
+        if amount > 0 {
+            totals.share += amount;
             totals.tokens += tokens;
         }
         *totals
@@ -203,20 +203,20 @@
     pub fn receive_grant(
         &mut self,
         team: TeamKey,
-        giver: Incarnation,
+        donor: Incarnation,
         epoch: u64,
         totals: TransferTotals,
     ) -> Option<ReceivedGrant> {
         if epoch != self.epoch {
             return None;
         }
-        let taken = self.account(team).taken.entry(giver).or_default();
-        if totals.share <= taken.share {
+        let received = self.account(team).received.entry(donor).or_default();
+        if totals.share <= received.share {
             return None;
         }
-        let share = totals.share - taken.share;
-        let tokens = (totals.tokens - taken.tokens).max(0.0);
-        *taken = totals;
+        let share = totals.share - received.share;
+        let tokens = (totals.tokens - received.tokens).max(0.0);
+        *received = totals;
         Some(ReceivedGrant { share, tokens })
     }
 
@@ -224,30 +224,30 @@
     pub fn record_acknowledgement(
         &mut self,
         team: TeamKey,
-        taker: Incarnation,
+        recipient: Incarnation,
         epoch: u64,
         share: u64,
     ) {
         if epoch == self.epoch {
-            let acknowledged = self.account(team).acknowledged.entry(taker).or_default();
+            let acknowledged = self.account(team).acknowledged.entry(recipient).or_default();
             *acknowledged = share.max(*acknowledged);
         }
     }
 
     /// Returns the totals that a taker has not acknowledged yet.
-    pub fn unacknowledged(&self, taker: Incarnation) -> Vec<(TeamKey, TransferTotals)> {
+    pub fn unacknowledged(&self, recipient: Incarnation) -> Vec<(TeamKey, TransferTotals)> {
         let pending = |(team, account): (TeamKey, &ShareAccount)| {
-            let totals = account.given.get(&taker).copied()?;
-            let known = account.acknowledged.get(&taker).copied().unwrap_or_default();
+            let totals = account.granted.get(&recipient).copied()?;
+            let known = account.acknowledged.get(&recipient).copied().unwrap_or_default();
             (totals.share > known).then_some((team, totals))
         };
         self.accounts.iter().filter_map(pending).collect()
     }
 
     /// Returns the parts taken from a giver, by which it learns what arrived.
-    pub fn received_from(&self, team: TeamKey, giver: Incarnation) -> u64 {
+    pub fn received_from(&self, team: TeamKey, donor: Incarnation) -> u64 {
         let account = self.accounts.get(team);
-        account.and_then(|account| account.taken.get(&giver)).map_or(0, |totals| totals.share)
+        account.and_then(|account| account.received.get(&donor)).map_or(0, |totals| totals.share)
     }
 
     fn account(&mut self, team: TeamKey) -> &mut ShareAccount {
@@ -258,7 +258,7 @@
     }
 
     /// Replaces every account by its share, which is issued anew in the next epoch.
-    fn fold(&mut self) -> Vec<(TeamKey, u64)> {
+    fn consolidate(&mut self) -> Vec<(TeamKey, u64)> {
         let mut report = Vec::new();
         for (team, account) in &mut self.accounts {
             let share = account.share();
@@ -277,13 +277,18 @@
 ///
 /// Without the second bound an idle giver would part with nearly all at the first question, and
 /// those who ask next would find nothing.
-pub fn fair_grant(giver_share: u64, giver_demand: f64, taker_share: u64, taker_demand: f64) -> u64 {
-    let giver_demand = giver_demand.max(FLOOR_DEMAND);
-    let taker_demand = taker_demand.max(FLOOR_DEMAND);
-    let (giver, taker) = (giver_share as f64, taker_share as f64);
-    let even = (giver * taker_demand - taker * giver_demand * KEPT_HEADROOM)
-        / (giver_demand * KEPT_HEADROOM + taker_demand);
-    let needed = taker_demand * NEEDED_HEADROOM * FULL_SHARE as f64 - taker;
-    let part = even.min(needed).max(0.0) as u64;
-    if part < SMALLEST_MOVE { 0 } else { part.min(giver_share) }
+pub fn fair_grant(
+    donor_share: u64,
+    donor_demand: f64,
+    recipient_share: u64,
+    recipient_demand: f64,
+) -> u64 {
+    let donor_demand = donor_demand.max(MIN_DEMAND);
+    let recipient_demand = recipient_demand.max(MIN_DEMAND);
+    let (donor, recipient) = (donor_share as f64, recipient_share as f64);
+    let balanced = (donor * recipient_demand - recipient * donor_demand * DONOR_HEADROOM)
+        / (donor_demand * DONOR_HEADROOM + recipient_demand);
+    let needed = recipient_demand * RECIPIENT_HEADROOM * FULL_SHARE as f64 - recipient;
+    let amount = balanced.min(needed).max(0.0) as u64;
+    if amount < MIN_TRANSFER { 0 } else { amount.min(donor_share) }
 }
--- a/crates/coord/src/placement.rs
+++ b/crates/coord/src/placement.rs
@@ -10,17 +10,17 @@
 use crate::rendezvous;
 
 /// Time for which an endpoint that failed is passed over, unless no other is left.
-const AVOID_TIME: Duration = Duration::from_millis(400);
+const FAILURE_BACKOFF: Duration = Duration::from_millis(400);
 /// Time after which an observation of an endpoint's queue tells nothing.
-const QUEUE_MEMORY: Duration = Duration::from_millis(250);
+const QUEUE_DELAY_TTL: Duration = Duration::from_millis(250);
 /// Time for which a member that refused to lead is tried last for writes.
-const FOLLOWER_TIME: Duration = Duration::from_millis(250);
+const NOT_LEADER_TTL: Duration = Duration::from_millis(250);
 /// Cost of a hop to another availability zone, beside its delay: bytes between zones are dear.
-const ZONE_COST: Duration = Duration::from_millis(6);
+const CROSS_ZONE_COST: Duration = Duration::from_millis(6);
 /// Wait assumed for a replica that lacks the position and whose lag is not known.
-const UNKNOWN_LAG: Duration = Duration::from_millis(60);
+const UNKNOWN_LAG_WAIT: Duration = Duration::from_millis(60);
 /// Part of a stated lag beyond which waiting for a replica is not worth while.
-const LAG_LIMIT: Duration = Duration::from_millis(40);
+const POSITION_TTL: Duration = Duration::from_millis(40);
 
 /// What an instance knows of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
@@ -38,36 +38,36 @@
 impl EndpointView {
     /// Tells whether the endpoint failed a moment ago.
     pub fn failed_recently(&self, now: Instant) -> bool {
-        within(self.failed_at, AVOID_TIME, now)
+        happened_within(self.failed_at, FAILURE_BACKOFF, now)
     }
 
     /// Tells whether the endpoint said a moment ago that it does not lead.
     pub fn is_follower(&self, now: Instant) -> bool {
-        within(self.not_leader_at, FOLLOWER_TIME, now)
+        happened_within(self.not_leader_at, NOT_LEADER_TTL, now)
     }
 
-    fn queue_wait(&self, now: Instant) -> Duration {
+    fn expected_queue_delay(&self, now: Instant) -> Duration {
         let Some((wait, at)) = self.queue_delay else {
             return Duration::ZERO;
         };
         wait.saturating_sub(now.saturating_duration_since(at).mul_f64(0.5)).min(
-            if now.saturating_duration_since(at) > QUEUE_MEMORY { Duration::ZERO } else { wait },
+            if now.saturating_duration_since(at) > QUEUE_DELAY_TTL { Duration::ZERO } else { wait },
         )
     }
 
-    fn position_wait(&self, needed: Option<LogPosition>, now: Instant) -> Duration {
+    fn catch_up_wait(&self, needed: Option<LogPosition>, now: Instant) -> Duration {
         let Some(needed) = needed else {
             return Duration::ZERO;
         };
         match self.position {
             Some((position, _)) if position >= needed => Duration::ZERO,
-            Some((_, at)) if now.saturating_duration_since(at) < LAG_LIMIT => UNKNOWN_LAG,
+            Some((_, at)) if now.saturating_duration_since(at) < POSITION_TTL => UNKNOWN_LAG_WAIT,
             _ => Duration::ZERO,
         }
     }
 }
 
-fn within(at: Option<Instant>, span: Duration, now: Instant) -> bool {
+fn happened_within(at: Option<Instant>, span: Duration, now: Instant) -> bool {
     at.is_some_and(|at| now.saturating_duration_since(at) < span)
 }
 
@@ -91,18 +91,21 @@
     now: Instant,
 ) -> Vec<usize> {
     let cost = |candidate: &ReadCandidate| {
-        let zone = if candidate.same_zone { Duration::ZERO } else { ZONE_COST };
+        let zone_cost = if candidate.same_zone { Duration::ZERO } else { CROSS_ZONE_COST };
         // Writes run only on the leader; reads leave its slots to them.
-        let lead = if candidate.leads { 2 * ZONE_COST } else { Duration::ZERO };
+        let leader_cost = if candidate.leads { 2 * CROSS_ZONE_COST } else { Duration::ZERO };
         let lag = if candidate.leads {
             Duration::ZERO
         } else {
-            candidate.view.position_wait(needed, now)
+            candidate.view.catch_up_wait(needed, now)
         };
-        (candidate.view.failed_recently(now), candidate.view.queue_wait(now) + zone + lead + lag)
+        (
+            candidate.view.failed_recently(now),
+            candidate.view.expected_queue_delay(now) + zone_cost + leader_cost + lag,
+        )
     };
-    let serves = |index: &usize| candidates[*index].leads || needed.is_some();
-    let mut order: Vec<usize> = (0..candidates.len()).filter(serves).collect();
+    let can_serve = |index: &usize| candidates[*index].leads || needed.is_some();
+    let mut order: Vec<usize> = (0..candidates.len()).filter(can_serve).collect();
     order.sort_by_key(|index| cost(&candidates[*index]));
     order
 }
@@ -127,16 +130,16 @@
 
 /// Part of an endpoint's connections that its holders leave free, as a divisor: for probes and for
 /// the moments in which two instances take themselves for the holder.
-const SPARE_CONNECTIONS: usize = 6;
+const SPARE_CONNECTION_DIVISOR: usize = 6;
 
 /// Returns the connections that a holder may open to an endpoint which takes `connections`.
 ///
 /// Load pattern: a partition leaves several holders of one endpoint, and each opens what it needs
 /// until the endpoint resets whatever is beyond its cap. Each side takes the part that its
 /// instances are of all registered ones, `reach`, so the sides together stay within the cap.
-pub fn connection_limit(connections: usize, reach: f64) -> usize {
-    let usable = connections - connections / SPARE_CONNECTIONS;
-    ((usable as f64 * reach) as usize).max(1)
+pub fn connection_limit(connections: usize, reachable_fraction: f64) -> usize {
+    let usable = connections - connections / SPARE_CONNECTION_DIVISOR;
+    ((usable as f64 * reachable_fraction) as usize).max(1)
 }
 
 /// Standing of a connection without work.
@@ -155,20 +158,20 @@
 }
 
 /// Rest of a team's last connection: opening one takes a slot for as long as two statements do.
-const LAST_REST: Duration = Duration::from_secs(4);
+const LAST_USED_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Rest of a connection that its team did not need for so long.
-const SPARE_REST: Duration = Duration::from_secs(1);
+const SURPLUS_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Rest of a connection whose endpoint moved: its new holder needs the place, but may be gone
 /// again in a moment.
-const FOREIGN_REST: Duration = Duration::from_millis(1_500);
+const MOVED_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl IdleConnectionKind {
     /// Returns the time without work after which the connection is closed.
     pub fn idle_timeout(self) -> Duration {
         match self {
-            Self::LastUsed => LAST_REST,
-            Self::Surplus => SPARE_REST,
-            Self::Moved => FOREIGN_REST,
+            Self::LastUsed => LAST_USED_IDLE_TIMEOUT,
+            Self::Surplus => SURPLUS_IDLE_TIMEOUT,
+            Self::Moved => MOVED_IDLE_TIMEOUT,
         }
     }
 }
--- a/crates/coord/src/priority.rs
+++ b/crates/coord/src/priority.rs
@@ -14,23 +14,28 @@
 pub type PriorityLevel = u8;
 
 /// Weight of the newest sample in the smoothed holding time.
-const HOLD_SMOOTHING: f64 = 0.1;
+const HOLD_TIME_SMOOTHING: f64 = 0.1;
 /// Holding time assumed before the first sample, in seconds.
-const FIRST_HOLD: f64 = 0.012;
+const INITIAL_HOLD_SECONDS: f64 = 0.012;
 
 /// Bounded permits of an endpoint and the requests that wait for them.
 #[derive(Clone, Debug)]
 pub struct PriorityQueue<T, R> {
     capacity: usize,
     in_use: usize,
-    hold: f64,
+    mean_hold_seconds: f64,
     levels: BTreeMap<PriorityLevel, FairQueue<T, R>>,
 }
 
 impl<T: Copy + Eq + Hash, R> PriorityQueue<T, R> {
     /// Creates a queue for `capacity` permits.
     pub fn new(capacity: usize) -> Self {
-        Self { capacity, in_use: 0, hold: FIRST_HOLD, levels: BTreeMap::new() }
+        Self {
+            capacity,
+            in_use: 0,
+            mean_hold_seconds: INITIAL_HOLD_SECONDS,
+            levels: BTreeMap::new(),
+        }
     }
 
     /// Changes the number of permits; permits in use above it are not taken away.
@@ -51,32 +56,33 @@
     /// Returns the time after which a request of `level` that comes now is expected to start, whatever
     /// its team.
     pub fn expected_wait(&self, level: PriorityLevel) -> Duration {
-        self.wait_behind(self.waiting_up_to(level))
+        self.wait_for(self.waiting_up_to(level))
     }
 
     /// Returns the time after which a request of `team` is expected to start: a team that floods the
     /// queue takes one turn for each of the others.
     pub fn expected_team_wait(&self, level: PriorityLevel, team: T) -> Duration {
-        let urgent: usize = self.levels.range(..level).map(|(_, queue)| queue.waiting()).sum();
-        let turns = self.levels.get(&level).map_or(0, |queue| queue.requests_ahead(team));
-        self.wait_behind(urgent + turns)
+        let higher_priority: usize =
+            self.levels.range(..level).map(|(_, queue)| queue.waiting()).sum();
+        let same_priority = self.levels.get(&level).map_or(0, |queue| queue.requests_ahead(team));
+        self.wait_for(higher_priority + same_priority)
     }
 
-    fn wait_behind(&self, ahead: usize) -> Duration {
+    fn wait_for(&self, ahead: usize) -> Duration {
         if self.in_use < self.capacity && ahead == 0 {
             return Duration::ZERO;
         }
-        let turns = (ahead + 1) as f64 / self.capacity.max(1) as f64;
-        Duration::from_secs_f64((turns * self.hold).min(3_600.0))
+        let rounds = (ahead + 1) as f64 / self.capacity.max(1) as f64;
+        Duration::from_secs_f64((rounds * self.mean_hold_seconds).min(3_600.0))
     }
 
     /// Takes a permit at once if one is free and nobody of the same urgency waits.
     pub fn try_acquire(&mut self, level: PriorityLevel) -> bool {
-        let free = self.in_use < self.capacity && self.waiting_up_to(level) == 0;
-        if free {
+        let is_free = self.in_use < self.capacity && self.waiting_up_to(level) == 0;
+        if is_free {
             self.in_use += 1;
         }
-        free
+        is_free
     }
 
     /// Takes a permit beyond the capacity, for a transaction that holds a connection already.
@@ -90,38 +96,39 @@
         level: PriorityLevel,
         team: T,
         request: R,
-        latest_start: Instant,
+        start_deadline: Instant,
         now: Instant,
     ) -> Result<(), QueueRefusal> {
-        let expected = self.expected_team_wait(level, team);
-        if now + expected > latest_start {
-            return Err(QueueRefusal::DeadlineExceeded { expected_wait: expected });
+        let expected_wait = self.expected_team_wait(level, team);
+        if now + expected_wait > start_deadline {
+            return Err(QueueRefusal::DeadlineExceeded { expected_wait });
         }
         let queue = self.levels.entry(level).or_insert_with(|| FairQueue::new(usize::MAX));
-        queue.push(team, request, latest_start, now)
+        queue.push(team, request, start_deadline, now)
     }
 
     /// Returns a permit after it was held for `held`.
-    pub fn release(&mut self, level: PriorityLevel, team: T, held: Duration) {
+    pub fn release(&mut self, level: PriorityLevel, team: T, hold_time: Duration) {
         self.in_use = self.in_use.saturating_sub(1);
-        self.hold += (held.as_secs_f64() - self.hold) * HOLD_SMOOTHING;
+        self.mean_hold_seconds +=
+            (hold_time.as_secs_f64() - self.mean_hold_seconds) * HOLD_TIME_SMOOTHING;
         if let Some(queue) = self.levels.get_mut(&level) {
-            queue.release(team, held);
+            queue.release(team, hold_time);
         }
     }
 
     /// Takes the next request that may run; requests past their latest start go to `expired`.
     pub fn pop(&mut self, now: Instant, expired: &mut Vec<R>) -> Option<R> {
-        let free = self.in_use < self.capacity;
+        let is_free = self.in_use < self.capacity;
         let mut next = None;
         for queue in self.levels.values_mut() {
-            let found = if free && next.is_none() {
+            let popped = if is_free && next.is_none() {
                 queue.pop(now, expired)
             } else {
                 queue.expire(now, expired);
                 None
             };
-            next = next.or(found);
+            next = next.or(popped);
         }
         let (_, request) = next?;
         self.in_use += 1;
--- a/crates/coord/src/promotion.rs
+++ b/crates/coord/src/promotion.rs
@@ -11,11 +11,11 @@
 /// Time for which the holder of a leader's connections must fail before a takeover is weighed.
 pub const LEADER_GRACE_PERIOD: Duration = Duration::from_millis(300);
 /// Time after which a call for promotion that brought no new leader is made again.
-const PROMOTION_TIME: Duration = Duration::from_millis(1_500);
+const PROMOTION_RETRY_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Time after which probes tell nothing any more.
-const PROBE_MEMORY: Duration = Duration::from_millis(900);
+const PROBE_TTL: Duration = Duration::from_millis(900);
 /// Failed rounds of probes after which a leader is replaced.
-const FAILED_ROUNDS: u32 = 2;
+const MIN_FAILED_ROUNDS: u32 = 2;
 
 /// Member's own account of itself, from a probe on a fresh connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -66,21 +66,21 @@
 pub struct PromotionMachine {
     failed_rounds: u32,
     probed_at: Option<Instant>,
-    called_at: Option<Instant>,
+    promotion_requested_at: Option<Instant>,
 }
 
 impl PromotionMachine {
     /// Tells whether members must be probed before a takeover can be weighed.
     pub fn needs_probe(&self, suspected: bool, now: Instant) -> bool {
-        let waiting =
-            self.called_at.is_some_and(|at| now.saturating_duration_since(at) < PROMOTION_TIME);
-        suspected && !waiting
+        let is_promoting = self
+            .promotion_requested_at
+            .is_some_and(|at| now.saturating_duration_since(at) < PROMOTION_RETRY_INTERVAL);
+        suspected && !is_promoting
     }
 
     /// Records a round of probes: whether anybody reached the leader.
     pub fn record_probe_round(&mut self, leader_answered: bool, now: Instant) {
-        let stale =
-            self.probed_at.is_none_or(|at| now.saturating_duration_since(at) > PROBE_MEMORY);
+        let stale = self.probed_at.is_none_or(|at| now.saturating_duration_since(at) > PROBE_TTL);
         self.failed_rounds = match leader_answered {
             true => 0,
             false if stale => 1,
@@ -91,7 +91,7 @@
 
     /// Records that a promotion was called for.
     pub fn record_promotion(&mut self, now: Instant) {
-        self.called_at = Some(now);
+        self.promotion_requested_at = Some(now);
         self.failed_rounds = 0;
     }
 
@@ -110,7 +110,7 @@
             Some(leader) if !members[leader].is_active && members[leader].report.is_some() => {
                 PromotionCause::Leaving
             }
-            Some(_) if self.failed_rounds >= FAILED_ROUNDS => PromotionCause::Dead,
+            Some(_) if self.failed_rounds >= MIN_FAILED_ROUNDS => PromotionCause::Dead,
             Some(_) => return PromotionDecision::Wait,
         };
         let others = || (0..members.len()).filter(|index| Some(*index) != leader);
@@ -119,12 +119,12 @@
             return PromotionDecision::Wait;
         }
         let received = |index: &usize| members[*index].report.map(|report| report.received);
-        let able = others().filter(|index| members[*index].report.is_some());
-        let best = able.max_by_key(|index| (members[*index].is_active, received(index)));
+        let reachable = others().filter(|index| members[*index].report.is_some());
+        let best = reachable.max_by_key(|index| (members[*index].is_active, received(index)));
         match best {
             Some(best) if synchronous > 0 => {
-                let most = others().max_by_key(received);
-                PromotionDecision::Promote(most.unwrap_or(best), cause)
+                let most_advanced = others().max_by_key(received);
+                PromotionDecision::Promote(most_advanced.unwrap_or(best), cause)
             }
             Some(best) if members[best].is_active => PromotionDecision::Promote(best, cause),
             _ => PromotionDecision::Wait,
--- a/crates/coord/src/queue.rs
+++ b/crates/coord/src/queue.rs
@@ -7,7 +7,7 @@
 /// Requests that one team may have waiting.
 pub const MAX_QUEUED_PER_TEAM: usize = 1_024;
 /// Weight of the newest sample in the smoothed holding time.
-const HOLD_SMOOTHING: f64 = 0.1;
+const HOLD_TIME_SMOOTHING: f64 = 0.1;
 
 /// Refusal of a queue.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -23,15 +23,15 @@
 
 /// Request that waits, with the time up to which starting it makes sense.
 #[derive(Clone, Debug)]
-struct WaitingRequest<R> {
+struct QueuedRequest<R> {
     request: R,
-    deadline: Instant,
+    start_deadline: Instant,
 }
 
 /// Waiting requests and time account of one team.
 #[derive(Clone, Debug)]
 struct TeamQueue<R> {
-    waiting: VecDeque<WaitingRequest<R>>,
+    waiting: VecDeque<QueuedRequest<R>>,
     /// Time of service by which the team lags behind its fair share, in seconds.
     deficit: f64,
     running: usize,
@@ -53,13 +53,13 @@
     capacity: usize,
     in_use: usize,
     teams: HashMap<T, TeamQueue<R>>,
-    turns: VecDeque<T>,
-    hold: f64,
-    last_shared: Option<Instant>,
+    waiting_teams: VecDeque<T>,
+    mean_hold_seconds: f64,
+    shared_at: Option<Instant>,
 }
 
 /// Time for which the last permit stays reserved after two teams used the queue.
-const RESERVE_TIME: Duration = Duration::from_secs(5);
+const RESERVE_DURATION: Duration = Duration::from_secs(5);
 
 impl<T: Copy + Eq + Hash, R> FairQueue<T, R> {
     /// Creates a queue for `capacity` permits.
@@ -68,9 +68,9 @@
             capacity,
             in_use: 0,
             teams: HashMap::new(),
-            turns: VecDeque::new(),
-            hold: 0.0,
-            last_shared: None,
+            waiting_teams: VecDeque::new(),
+            mean_hold_seconds: 0.0,
+            shared_at: None,
         }
     }
 
@@ -96,9 +96,9 @@
 
     /// Takes a permit for `team` at once if one is free for it.
     pub fn try_acquire(&mut self, team: T, now: Instant) -> bool {
-        self.note_sharing(team, now);
-        let waits = self.teams.get(&team).is_some_and(|queue| !queue.waiting.is_empty());
-        if waits || !self.may_run(team, now) || !self.turns.is_empty() {
+        self.record_sharing(team, now);
+        let has_queued = self.teams.get(&team).is_some_and(|queue| !queue.waiting.is_empty());
+        if has_queued || !self.can_start(team, now) || !self.waiting_teams.is_empty() {
             return false;
         }
         self.start(team);
@@ -110,34 +110,34 @@
         &mut self,
         team: T,
         request: R,
-        deadline: Instant,
+        start_deadline: Instant,
         now: Instant,
     ) -> Result<(), QueueRefusal> {
-        let expected = self.expected_wait(team);
-        if now + expected > deadline {
-            return Err(QueueRefusal::DeadlineExceeded { expected_wait: expected });
+        let expected_wait = self.expected_wait(team);
+        if now + expected_wait > start_deadline {
+            return Err(QueueRefusal::DeadlineExceeded { expected_wait });
         }
         let queue = self.teams.entry(team).or_default();
         if queue.waiting.len() >= MAX_QUEUED_PER_TEAM {
             return Err(QueueRefusal::Full);
         }
         if queue.waiting.is_empty() {
-            self.turns.push_back(team);
+            self.waiting_teams.push_back(team);
         }
-        queue.waiting.push_back(WaitingRequest { request, deadline });
+        queue.waiting.push_back(QueuedRequest { request, start_deadline });
         Ok(())
     }
 
     /// Returns a permit after it was held for `held`.
-    pub fn release(&mut self, team: T, held: Duration) {
+    pub fn release(&mut self, team: T, hold_time: Duration) {
         self.in_use = self.in_use.saturating_sub(1);
-        let held = held.as_secs_f64();
-        self.hold += (held - self.hold) * HOLD_SMOOTHING;
+        let hold_time = hold_time.as_secs_f64();
+        self.mean_hold_seconds += (hold_time - self.mean_hold_seconds) * HOLD_TIME_SMOOTHING;
         let Some(queue) = self.teams.get_mut(&team) else {
             return;
         };
         queue.running = queue.running.saturating_sub(1);
-        queue.deficit -= held;
+        queue.deficit -= hold_time;
         if queue.waiting.is_empty() && queue.running == 0 {
             self.teams.remove(&team);
         }
@@ -150,7 +150,7 @@
         let queue = self.teams.get_mut(&team)?;
         let next = queue.waiting.pop_front()?;
         if queue.waiting.is_empty() {
-            self.turns.retain(|waiting| *waiting != team);
+            self.waiting_teams.retain(|waiting| *waiting != team);
         }
         self.start(team);
         Some((team, next.request))
@@ -159,18 +159,18 @@
     /// Returns the time after which a request of `team` that comes now is expected to start.
     pub fn expected_wait(&self, team: T) -> Duration {
         let ahead = self.teams.get(&team).map_or(0, |queue| queue.waiting.len());
-        let rivals = self.turns.iter().filter(|waiting| **waiting != team).count();
-        let turns = ahead * (rivals + 1) + rivals;
-        let share = turns as f64 / self.capacity.max(1) as f64;
-        Duration::from_secs_f64((share * self.hold).clamp(0.0, 3_600.0))
+        let other_teams = self.waiting_teams.iter().filter(|waiting| **waiting != team).count();
+        let requests_before = ahead * (other_teams + 1) + other_teams;
+        let rounds = requests_before as f64 / self.capacity.max(1) as f64;
+        Duration::from_secs_f64((rounds * self.mean_hold_seconds).clamp(0.0, 3_600.0))
     }
 
     /// Returns the requests that run before one of `team` that comes now, if teams take turns: those
     /// of the team, and of each other team as many as there are turns until then.
     pub fn requests_ahead(&self, team: T) -> usize {
         let own = self.teams.get(&team).map_or(0, |queue| queue.waiting.len());
-        let rivals = self.teams.iter().filter(|(rival, _)| **rival != team);
-        own + rivals.map(|(_, queue)| queue.waiting.len().min(own + 1)).sum::<usize>()
+        let other_teams = self.teams.iter().filter(|(other, _)| **other != team);
+        own + other_teams.map(|(_, queue)| queue.waiting.len().min(own + 1)).sum::<usize>()
     }
 
     /// Moves requests past their deadline to `expired`.
@@ -180,49 +180,50 @@
 
     fn drop_expired(&mut self, now: Instant, expired: &mut Vec<R>) {
         for queue in self.teams.values_mut() {
-            while queue.waiting.front().is_some_and(|waiting| waiting.deadline <= now) {
+            while queue.waiting.front().is_some_and(|waiting| waiting.start_deadline <= now) {
                 expired.extend(queue.waiting.pop_front().map(|waiting| waiting.request));
             }
         }
         let teams = &mut self.teams;
-        self.turns.retain(|team| teams.get(team).is_some_and(|queue| !queue.waiting.is_empty()));
+        self.waiting_teams
+            .retain(|team| teams.get(team).is_some_and(|queue| !queue.waiting.is_empty()));
         teams.retain(|_, queue| queue.running > 0 || !queue.waiting.is_empty());
     }
 
     /// Picks the waiting team with the largest account; the order of arrival breaks ties.
     fn next_team(&mut self, now: Instant) -> Option<T> {
-        let allowed: Vec<T> =
-            self.turns.iter().copied().filter(|team| self.may_run(*team, now)).collect();
-        let account = |team: &T| self.teams[team].deficit;
-        let best = allowed
+        let startable: Vec<T> =
+            self.waiting_teams.iter().copied().filter(|team| self.can_start(*team, now)).collect();
+        let deficit = |team: &T| self.teams[team].deficit;
+        let best = startable
             .iter()
             .copied()
-            .reduce(|best, team| if account(&team) > account(&best) { team } else { best })?;
-        self.level_accounts(account(&best));
-        self.turns.retain(|team| *team != best);
-        self.turns.push_back(best);
+            .reduce(|best, team| if deficit(&team) > deficit(&best) { team } else { best })?;
+        self.normalize_deficits(deficit(&best));
+        self.waiting_teams.retain(|team| *team != best);
+        self.waiting_teams.push_back(best);
         Some(best)
     }
 
     /// Moves every account so that the team served next stands at zero.
-    fn level_accounts(&mut self, account: f64) {
+    fn normalize_deficits(&mut self, deficit: f64) {
         for queue in self.teams.values_mut() {
-            queue.deficit -= account;
+            queue.deficit -= deficit;
         }
     }
 
-    fn may_run(&self, team: T, now: Instant) -> bool {
+    fn can_start(&self, team: T, now: Instant) -> bool {
         if self.in_use >= self.capacity {
             return false;
         }
-        let shared = self.last_shared.is_some_and(|at| now.duration_since(at) < RESERVE_TIME);
+        let shared = self.shared_at.is_some_and(|at| now.duration_since(at) < RESERVE_DURATION);
         let running = self.teams.get(&team).map_or(0, |queue| queue.running);
         !shared || self.capacity < 2 || running < self.capacity - 1
     }
 
-    fn note_sharing(&mut self, team: T, now: Instant) {
+    fn record_sharing(&mut self, team: T, now: Instant) {
         if self.teams.keys().any(|other| *other != team) {
-            self.last_shared = Some(now);
+            self.shared_at = Some(now);
         }
     }
 
--- a/crates/coord/src/quota.rs
+++ b/crates/coord/src/quota.rs
@@ -14,11 +14,11 @@
 use state::bucket::{BucketDelay, TokenBucket};
 
 /// Pause after which a counter assumes that another one stood in for it.
-const COUNTING_GAP: Duration = Duration::from_millis(800);
+const OWNERSHIP_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Part of the tolerance that a new bucket starts with, as a divisor: in one window a team may get a
 /// new counter twice, when an instance goes and when it comes back.
-const TOLERANCE_SHARE: f64 = 3.0;
+const START_OVERAGE_DIVISOR: f64 = 3.0;
 
 /// Span in which limits hold, and by how much they may be exceeded when counters change.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -41,15 +41,15 @@
 }
 
 /// Part of the bucket that operations of one urgency leave to those of the next higher one.
-const URGENT_PART: f64 = 0.2;
+const PRIORITY_RESERVE_FRACTION: f64 = 0.2;
 /// Higher urgencies for which tokens are kept.
-const KEPT_RANKS: usize = 2;
+const MAX_RESERVED_LEVELS: usize = 2;
 /// Longest wait for a token: about the work of one statement. Those who are refused come back, and
 /// after longer waits they came too late. The same for all, so that patience gives no precedence.
 pub const TOKEN_TIMEOUT: Duration = Duration::from_millis(15);
 
 /// Part of a burst that is admitted at once; the rest is spread over the window of the limit.
-const BURST_PART: f64 = 0.5;
+const IMMEDIATE_BURST_FRACTION: f64 = 0.5;
 
 impl TeamLimit {
     /// Returns rate and burst of a bucket that admits, in any span of `window`, at most what the
@@ -57,17 +57,17 @@
     ///
     /// A bucket of the declared rate and burst would admit the burst once in all, and so refuse
     /// steady load that every window allows.
-    fn shaped(&self, window: LimitWindow) -> (f64, f64) {
-        let at_once = (self.burst * BURST_PART).max(self.burst.min(1.0));
-        let spread = (self.burst - at_once) / window.length.as_secs_f64().max(1.0);
-        (self.rate + spread, at_once)
+    fn bucket_parameters(&self, window: LimitWindow) -> (f64, f64) {
+        let immediate_burst = (self.burst * IMMEDIATE_BURST_FRACTION).max(self.burst.min(1.0));
+        let spread_rate = (self.burst - immediate_burst) / window.length.as_secs_f64().max(1.0);
+        (self.rate + spread_rate, immediate_burst)
     }
 
     /// Returns the operations that a new counter may admit though it does not know what the one
     /// before it admitted.
-    fn start_tokens(&self, window: LimitWindow) -> f64 {
+    fn initial_tokens(&self, window: LimitWindow) -> f64 {
         let allowed = self.rate * window.length.as_secs_f64() + self.burst;
-        (allowed * window.overage_ratio + window.slack_operations) / TOLERANCE_SHARE
+        (allowed * window.overage_ratio + window.slack_operations) / START_OVERAGE_DIVISOR
     }
 }
 
@@ -76,14 +76,14 @@
 pub struct TeamQuotas {
     window: LimitWindow,
     buckets: HashMap<String, TokenBucket>,
-    reach: f64,
-    seen_at: Option<Instant>,
+    reachable_fraction: f64,
+    recorded_at: Option<Instant>,
 }
 
 impl TeamQuotas {
     /// Creates counters for limits that hold in every `window`.
     pub fn new(window: LimitWindow) -> Self {
-        Self { window, buckets: HashMap::new(), reach: 0.0, seen_at: None }
+        Self { window, buckets: HashMap::new(), reachable_fraction: 0.0, recorded_at: None }
     }
 
     /// Notes which part of all registered instances this one reaches, itself included.
@@ -91,16 +91,17 @@
     /// Must be called more often than every [`COUNTING_GAP`]; after a longer pause, such as a
     /// suspension, every bucket starts anew.
     pub fn record_reachable(&mut self, reached: usize, registered: usize, now: Instant) {
-        if self.seen_at.is_some_and(|at| now.saturating_duration_since(at) > COUNTING_GAP) {
+        if self.recorded_at.is_some_and(|at| now.saturating_duration_since(at) > OWNERSHIP_TIMEOUT)
+        {
             self.buckets.clear();
         }
-        self.seen_at = Some(now);
-        self.reach = reached.min(registered) as f64 / registered.max(1) as f64;
+        self.recorded_at = Some(now);
+        self.reachable_fraction = reached.min(registered) as f64 / registered.max(1) as f64;
     }
 
     /// Returns the part of all registered instances that this one reaches, itself included.
     pub fn reachable_fraction(&self) -> f64 {
-        self.reach
+        self.reachable_fraction
     }
 
     /// Takes one operation of a team and returns the time after which it may start, or tells when
@@ -112,29 +113,31 @@
         &mut self,
         team: &str,
         limit: TeamLimit,
-        rank: usize,
-        patience: Duration,
-        full_start: bool,
+        priority_rank: usize,
+        max_wait: Duration,
+        starts_full: bool,
         now: Instant,
     ) -> Result<Duration, BucketDelay> {
-        let start_tokens = limit.start_tokens(self.window) * self.reach;
-        let (rate, burst) = limit.shaped(self.window);
-        let (rate, burst) = (rate * self.reach, (burst * self.reach).max(1.0));
+        let initial_tokens = limit.initial_tokens(self.window) * self.reachable_fraction;
+        let (rate, burst) = limit.bucket_parameters(self.window);
+        let (rate, burst) =
+            (rate * self.reachable_fraction, (burst * self.reachable_fraction).max(1.0));
         let bucket = match self.buckets.get_mut(team) {
             Some(bucket) => bucket,
             None => {
                 let mut bucket = TokenBucket::empty(rate, burst, now);
-                bucket.deposit(if full_start { burst } else { start_tokens }, now);
+                bucket.deposit(if starts_full { burst } else { initial_tokens }, now);
                 self.buckets.entry(team.to_owned()).or_insert(bucket)
             }
         };
         bucket.resize(rate, burst, now);
-        let floor = burst * URGENT_PART * rank.min(KEPT_RANKS) as f64;
-        bucket.reserve(1.0, floor, patience, now)
+        let reserved_tokens =
+            burst * PRIORITY_RESERVE_FRACTION * priority_rank.min(MAX_RESERVED_LEVELS) as f64;
+        bucket.reserve(1.0, reserved_tokens, max_wait, now)
     }
 
     /// Forgets buckets of teams for which this instance no longer counts.
-    pub fn retain(&mut self, counts_for: impl Fn(&str) -> bool) {
-        self.buckets.retain(|team, _| counts_for(team));
+    pub fn retain(&mut self, is_owned: impl Fn(&str) -> bool) {
+        self.buckets.retain(|team, _| is_owned(team));
     }
 }
--- a/crates/coord/src/rendezvous.rs
+++ b/crates/coord/src/rendezvous.rs
@@ -20,8 +20,8 @@
 
 /// Returns the place of `own` among `candidates` for `subject`, zero for the first.
 pub fn rank<'a>(subject: &str, own: &str, candidates: impl IntoIterator<Item = &'a str>) -> usize {
-    let own_order = order(subject, own);
-    let before = |candidate: &&str| *candidate != own && order(subject, candidate) < own_order;
+    let own_key = sort_key(subject, own);
+    let before = |candidate: &&str| *candidate != own && sort_key(subject, candidate) < own_key;
     candidates.into_iter().filter(before).count()
 }
 
@@ -32,11 +32,11 @@
     count: usize,
 ) -> Vec<&'a str> {
     let mut ordered: Vec<&str> = candidates.into_iter().collect();
-    ordered.sort_by_key(|candidate| order(subject, candidate));
+    ordered.sort_by_key(|candidate| sort_key(subject, candidate));
     ordered.truncate(count);
     ordered
 }
 
-fn order<'a>(subject: &str, candidate: &'a str) -> (Reverse<u64>, &'a str) {
+fn sort_key<'a>(subject: &str, candidate: &'a str) -> (Reverse<u64>, &'a str) {
     (Reverse(weight(subject, candidate)), candidate)
 }
--- a/crates/coord/src/routing.rs
+++ b/crates/coord/src/routing.rs
@@ -42,14 +42,20 @@
 }
 
 /// Picks the member for a read.
-pub fn route_read(members: &[MemberView], needs: &ReadRequirements, now: Instant) -> RouteTarget {
-    let candidate = |view: &MemberView| {
-        view.reachable && view.position.role != MemberRole::Primary && serves(view, needs, now)
+pub fn route_read(
+    members: &[MemberView],
+    requirements: &ReadRequirements,
+    now: Instant,
+) -> RouteTarget {
+    let can_serve_read = |view: &MemberView| {
+        view.reachable
+            && view.position.role != MemberRole::Primary
+            && is_fresh_enough(view, requirements, now)
     };
     let replica = members
         .iter()
         .enumerate()
-        .filter(|(_, view)| candidate(view))
+        .filter(|(_, view)| can_serve_read(view))
         .min_by_key(|(index, view)| (view.load, !view.same_zone, *index));
     match replica {
         Some((index, _)) => RouteTarget::Replica(index),
@@ -68,15 +74,15 @@
 }
 
 /// Tells whether a replica may serve a read.
-fn serves(view: &MemberView, needs: &ReadRequirements, now: Instant) -> bool {
-    let (Some(limit), Some(fresh_as_of)) = (needs.max_staleness, view.fresh_as_of) else {
+fn is_fresh_enough(view: &MemberView, requirements: &ReadRequirements, now: Instant) -> bool {
+    let (Some(limit), Some(fresh_as_of)) = (requirements.max_staleness, view.fresh_as_of) else {
         return false;
     };
     if now.saturating_duration_since(fresh_as_of) > limit {
         return false;
     }
-    match needs.min_position {
-        Some(seen) => view.position.covers(seen),
-        None => fresh_as_of >= needs.began_at,
+    match requirements.min_position {
+        Some(min_position) => view.position.covers(min_position),
+        None => fresh_as_of >= requirements.began_at,
     }
 }
--- a/crates/coord/src/session.rs
+++ b/crates/coord/src/session.rs
@@ -116,7 +116,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum TransactionBlock {
+enum TransactionPhase {
     Idle,
     Begun { read_only: bool, began_at: Instant },
     Pinned { read_only: bool, began_at: Instant },
@@ -128,29 +128,29 @@
 struct SetupEntry {
     name: String,
     text: String,
-    statement: bool,
+    is_statement: bool,
     writes: bool,
 }
 
 /// State of one session.
 #[derive(Clone, Debug)]
 pub struct SessionMachine {
-    block: TransactionBlock,
+    phase: TransactionPhase,
     setup: Vec<SetupEntry>,
     setup_version: u32,
     /// Texts that the connection of the open transaction has not run yet.
-    pending: Vec<String>,
-    own_commit: Option<LogPosition>,
+    pending_setup: Vec<String>,
+    last_commit: Option<LogPosition>,
 }
 
 impl Default for SessionMachine {
     fn default() -> Self {
         Self {
-            block: TransactionBlock::Idle,
+            phase: TransactionPhase::Idle,
             setup: Vec::new(),
             setup_version: 0,
-            pending: Vec::new(),
-            own_commit: None,
+            pending_setup: Vec::new(),
+            last_commit: None,
         }
     }
 }
@@ -158,23 +158,23 @@
 impl SessionMachine {
     /// Returns the state that the caller sees.
     pub fn transaction_state(&self) -> TransactionState {
-        match self.block {
-            TransactionBlock::Idle => TransactionState::Idle,
-            TransactionBlock::Begun { .. } | TransactionBlock::Pinned { .. } => {
+        match self.phase {
+            TransactionPhase::Idle => TransactionState::Idle,
+            TransactionPhase::Begun { .. } | TransactionPhase::Pinned { .. } => {
                 TransactionState::Open
             }
-            TransactionBlock::Failed => TransactionState::Failed,
+            TransactionPhase::Failed => TransactionState::Failed,
         }
     }
 
     /// Tells whether a member holds the open transaction.
     pub fn is_pinned(&self) -> bool {
-        matches!(self.block, TransactionBlock::Pinned { .. })
+        matches!(self.phase, TransactionPhase::Pinned { .. })
     }
 
     /// Returns the position of the session's last commit.
     pub fn last_commit(&self) -> Option<LogPosition> {
-        self.own_commit
+        self.last_commit
     }
 
     /// Returns the version of values and prepared names; zero if there are none.
@@ -189,7 +189,7 @@
 
     /// Takes the texts that the connection of the open transaction has not run yet.
     pub fn take_pending_setup(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.pending)
+        std::mem::take(&mut self.pending_setup)
     }
 
     /// Decides about a statement whose first byte came in at `began_at`.
@@ -201,49 +201,49 @@
     ) -> StatementAction {
         use StatementClass as Class;
         match class {
-            Class::Commit | Class::Rollback => return self.handle_end(class, began_at),
-            _ if self.block == TransactionBlock::Failed => {
+            Class::Commit | Class::Rollback => return self.handle_transaction_end(class, began_at),
+            _ if self.phase == TransactionPhase::Failed => {
                 return StatementAction::Refuse(StatementError::InvalidState);
             }
             _ => {}
         }
         match class {
             Class::Begin { read_only } => {
-                if self.block != TransactionBlock::Idle {
+                if self.phase != TransactionPhase::Idle {
                     return StatementAction::Refuse(StatementError::InvalidState);
                 }
-                self.block = TransactionBlock::Begun { read_only: *read_only, began_at };
+                self.phase = TransactionPhase::Begun { read_only: *read_only, began_at };
                 StatementAction::Acknowledge
             }
             Class::Set { name } => {
-                self.set_up(name, text, false, false);
+                self.add_setup(name, text, false, false);
                 StatementAction::Acknowledge
             }
             Class::Prepare { name, writes } => {
-                self.set_up(name, text, true, *writes);
+                self.add_setup(name, text, true, *writes);
                 StatementAction::Acknowledge
             }
             Class::Deallocate { name } => {
-                let known = self.find_statement(name).is_some();
-                if !known {
+                let exists = self.find_prepared(name).is_some();
+                if !exists {
                     return StatementAction::Refuse(StatementError::UnknownStatement);
                 }
-                self.setup.retain(|entry| !(entry.statement && entry.name == *name));
-                self.setup_changed(text);
+                self.setup.retain(|entry| !(entry.is_statement && entry.name == *name));
+                self.record_setup_change(text);
                 StatementAction::Acknowledge
             }
-            Class::Execute { name } => match self.find_statement(name) {
+            Class::Execute { name } => match self.find_prepared(name) {
                 Some(entry) => {
                     let writes = entry.writes;
-                    self.handle_work(writes, began_at)
+                    self.handle_query(writes, began_at)
                 }
                 None => {
                     self.fail_transaction();
                     StatementAction::Refuse(StatementError::UnknownStatement)
                 }
             },
-            Class::Read => self.handle_work(false, began_at),
-            Class::Write => self.handle_work(true, began_at),
+            Class::Read => self.handle_query(false, began_at),
+            Class::Write => self.handle_query(true, began_at),
             Class::Unknown | Class::Commit | Class::Rollback => {
                 StatementAction::Refuse(StatementError::InvalidState)
             }
@@ -253,35 +253,39 @@
     /// Records that a member ran a forwarded statement with success.
     pub fn record_success(&mut self, plan: &ForwardPlan, position: Option<LogPosition>) {
         if plan.changes_data() && (plan.commits && !plan.read_only || plan.writes) {
-            self.own_commit = self.own_commit.max(position);
+            self.last_commit = self.last_commit.max(position);
         }
         if plan.commits {
-            self.end_block();
+            self.end_transaction();
         } else if plan.opens_transaction {
-            self.block =
-                TransactionBlock::Pinned { read_only: plan.read_only, began_at: plan.began_at };
+            self.phase =
+                TransactionPhase::Pinned { read_only: plan.read_only, began_at: plan.began_at };
         }
     }
 
     /// Records that a forwarded statement failed; an open transaction is lost with it.
     pub fn record_failure(&mut self, plan: &ForwardPlan) {
         if plan.commits {
-            self.end_block();
+            self.end_transaction();
         } else if !plan.is_autocommit() {
-            self.pending.clear();
-            self.block = TransactionBlock::Failed;
+            self.pending_setup.clear();
+            self.phase = TransactionPhase::Failed;
         }
     }
 
     /// Fails the open transaction, because its connection is gone or it rested for too long.
     pub fn fail_transaction(&mut self) {
         if self.transaction_state() == TransactionState::Open {
-            self.pending.clear();
-            self.block = TransactionBlock::Failed;
+            self.pending_setup.clear();
+            self.phase = TransactionPhase::Failed;
         }
     }
 
-    fn handle_end(&mut self, class: &StatementClass, began_at: Instant) -> StatementAction {
+    fn handle_transaction_end(
+        &mut self,
+        class: &StatementClass,
+        began_at: Instant,
+    ) -> StatementAction {
         let commits = *class == StatementClass::Commit;
         let plan = |opens, read_only, began_at| {
             StatementAction::Forward(ForwardPlan {
@@ -293,31 +297,31 @@
                 began_at,
             })
         };
-        match self.block {
-            TransactionBlock::Idle => StatementAction::Refuse(StatementError::InvalidState),
-            TransactionBlock::Failed => {
-                self.end_block();
+        match self.phase {
+            TransactionPhase::Idle => StatementAction::Refuse(StatementError::InvalidState),
+            TransactionPhase::Failed => {
+                self.end_transaction();
                 if commits {
                     return StatementAction::Refuse(StatementError::RolledBack);
                 }
                 StatementAction::Acknowledge
             }
-            TransactionBlock::Begun { read_only, .. } if commits => plan(true, read_only, began_at),
-            TransactionBlock::Pinned { read_only, .. } if commits => {
+            TransactionPhase::Begun { read_only, .. } if commits => plan(true, read_only, began_at),
+            TransactionPhase::Pinned { read_only, .. } if commits => {
                 plan(false, read_only, began_at)
             }
-            TransactionBlock::Begun { .. } => {
-                self.end_block();
+            TransactionPhase::Begun { .. } => {
+                self.end_transaction();
                 StatementAction::Acknowledge
             }
-            TransactionBlock::Pinned { .. } => {
-                self.end_block();
+            TransactionPhase::Pinned { .. } => {
+                self.end_transaction();
                 StatementAction::RollbackPinned
             }
         }
     }
 
-    fn handle_work(&mut self, writes: bool, now: Instant) -> StatementAction {
+    fn handle_query(&mut self, writes: bool, statement_began_at: Instant) -> StatementAction {
         let plan = |opens, pinned, read_only, began_at| {
             let commits = false;
             StatementAction::Forward(ForwardPlan {
@@ -329,44 +333,44 @@
                 began_at,
             })
         };
-        match self.block {
-            TransactionBlock::Begun { read_only: true, .. }
-            | TransactionBlock::Pinned { read_only: true, .. }
+        match self.phase {
+            TransactionPhase::Begun { read_only: true, .. }
+            | TransactionPhase::Pinned { read_only: true, .. }
                 if writes =>
             {
                 StatementAction::Refuse(StatementError::ReadOnly)
             }
-            TransactionBlock::Idle => plan(false, false, !writes, now),
-            TransactionBlock::Begun { read_only, began_at } => {
+            TransactionPhase::Idle => plan(false, false, !writes, statement_began_at),
+            TransactionPhase::Begun { read_only, began_at } => {
                 plan(true, false, read_only, began_at)
             }
-            TransactionBlock::Pinned { read_only, began_at } => {
+            TransactionPhase::Pinned { read_only, began_at } => {
                 plan(false, true, read_only, began_at)
             }
-            TransactionBlock::Failed => StatementAction::Refuse(StatementError::InvalidState),
+            TransactionPhase::Failed => StatementAction::Refuse(StatementError::InvalidState),
         }
     }
 
-    fn end_block(&mut self) {
-        self.pending.clear();
-        self.block = TransactionBlock::Idle;
+    fn end_transaction(&mut self) {
+        self.pending_setup.clear();
+        self.phase = TransactionPhase::Idle;
     }
 
-    fn find_statement(&self, name: &str) -> Option<&SetupEntry> {
-        self.setup.iter().find(|entry| entry.statement && entry.name == name)
+    fn find_prepared(&self, name: &str) -> Option<&SetupEntry> {
+        self.setup.iter().find(|entry| entry.is_statement && entry.name == name)
     }
 
-    fn set_up(&mut self, name: &str, text: &str, statement: bool, writes: bool) {
-        self.setup.retain(|entry| !(entry.statement == statement && entry.name == name));
-        let (name, kept) = (name.to_owned(), text.to_owned());
-        self.setup.push(SetupEntry { name, text: kept, statement, writes });
-        self.setup_changed(text);
+    fn add_setup(&mut self, name: &str, text: &str, is_statement: bool, writes: bool) {
+        self.setup.retain(|entry| !(entry.is_statement == is_statement && entry.name == name));
+        let (name, owned_text) = (name.to_owned(), text.to_owned());
+        self.setup.push(SetupEntry { name, text: owned_text, is_statement, writes });
+        self.record_setup_change(text);
     }
 
-    fn setup_changed(&mut self, text: &str) {
+    fn record_setup_change(&mut self, text: &str) {
         self.setup_version += 1;
         if self.is_pinned() {
-            self.pending.push(text.to_owned());
+            self.pending_setup.push(text.to_owned());
         }
     }
 }
--- a/crates/coord/src/validation.rs
+++ b/crates/coord/src/validation.rs
@@ -12,17 +12,17 @@
 pub const VALIDATION_TTL: Duration = Duration::from_millis(2_500);
 /// Part of the time for which a withdrawn key may still work that a request admitted last needs: it
 /// waits for its token, its connection and its turn.
-const ADMITTED_RESERVE: Duration = Duration::from_millis(800);
+const IN_FLIGHT_RESERVE: Duration = Duration::from_millis(800);
 /// Failed time after which the table service counts as down for an instance.
-const OUTAGE_AFTER: Duration = Duration::from_millis(300);
+const STORE_OUTAGE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Returns the time after the last proof for which keys of a version may be accepted, if a withdrawn
 /// key must stop working within `bound` on every instance, also on those cut off.
 ///
 /// An instance that is cut off cannot be told apart from one that missed nothing, so it stops in
 /// time. `bound` less the reserve, and at least half of it.
-pub fn key_validation_ttl(bound: Duration) -> Duration {
-    bound.saturating_sub(ADMITTED_RESERVE).max(bound / 2)
+pub fn key_validation_ttl(revocation_bound: Duration) -> Duration {
+    revocation_bound.saturating_sub(IN_FLIGHT_RESERVE).max(revocation_bound / 2)
 }
 
 /// Answer of a peer in a round of heartbeats.
@@ -47,10 +47,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct ValidationTracker {
     version: u64,
-    proved_at: Option<Instant>,
+    validated_at: Option<Instant>,
     store_failing_since: Option<Instant>,
-    round_at: Option<Instant>,
-    words: HashMap<u64, HeartbeatOutcome>,
+    round_started_at: Option<Instant>,
+    outcomes: HashMap<u64, HeartbeatOutcome>,
 }
 
 impl ValidationTracker {
@@ -68,72 +68,74 @@
     }
 
     /// Records that the table service, asked at `asked_at`, named `version`.
-    pub fn record_store_version(&mut self, asked_at: Instant, version: u64) {
+    pub fn record_store_version(&mut self, sent_at: Instant, version: u64) {
         self.store_failing_since = None;
         if version == self.version {
-            self.prove(asked_at);
+            self.record_validation(sent_at);
         }
     }
 
     /// Records that the table service did not answer a question asked at `asked_at`.
-    pub fn record_store_failure(&mut self, asked_at: Instant) {
-        self.store_failing_since = self.store_failing_since.or(Some(asked_at));
+    pub fn record_store_failure(&mut self, sent_at: Instant) {
+        self.store_failing_since = self.store_failing_since.or(Some(sent_at));
     }
 
     /// Tells whether the table service has not answered this instance for a while.
     pub fn is_store_down(&self, now: Instant) -> bool {
         self.store_failing_since
-            .is_some_and(|since| now.saturating_duration_since(since) >= OUTAGE_AFTER)
+            .is_some_and(|since| now.saturating_duration_since(since) >= STORE_OUTAGE_TIMEOUT)
     }
 
     /// Starts a round of heartbeats to every listed peer.
     pub fn start_heartbeat_round(&mut self, now: Instant) {
-        self.round_at = Some(now);
-        self.words.clear();
+        self.round_started_at = Some(now);
+        self.outcomes.clear();
     }
 
     /// Records what a peer said to a question asked at `asked_at`.
-    pub fn record_peer(&mut self, peer: u64, asked_at: Instant, word: HeartbeatOutcome) {
-        if let HeartbeatOutcome::Answered { version, validation_age: Some(age), .. } = word
+    pub fn record_peer(&mut self, peer: u64, sent_at: Instant, outcome: HeartbeatOutcome) {
+        if let HeartbeatOutcome::Answered { version, validation_age: Some(age), .. } = outcome
             && version == self.version
-            && let Some(proved_at) = asked_at.checked_sub(age)
+            && let Some(validated_at) = sent_at.checked_sub(age)
         {
-            self.prove(proved_at);
+            self.record_validation(validated_at);
         }
-        if self.round_at.is_some_and(|round_at| asked_at >= round_at) {
-            self.words.insert(peer, word);
+        if self.round_started_at.is_some_and(|round_started_at| sent_at >= round_started_at) {
+            self.outcomes.insert(peer, outcome);
         }
     }
 
     /// Ends a round to `listed` peers; if all of them agree on an outage, the version is proved.
-    pub fn end_heartbeat_round(&mut self, listed: usize, now: Instant) {
-        let Some(round_at) = self.round_at.take() else {
+    pub fn end_heartbeat_round(&mut self, peer_count: usize, now: Instant) {
+        let Some(round_started_at) = self.round_started_at.take() else {
             return;
         };
-        let agrees = |word: &HeartbeatOutcome| match word {
+        let confirms_outage = |outcome: &HeartbeatOutcome| match outcome {
             HeartbeatOutcome::Answered { version, store_down, .. } => {
                 *store_down && *version == self.version
             }
             HeartbeatOutcome::Refused => true,
             HeartbeatOutcome::Unanswered => false,
         };
-        let unanimous = self.words.len() >= listed && self.words.values().all(agrees);
+        let unanimous =
+            self.outcomes.len() >= peer_count && self.outcomes.values().all(confirms_outage);
         // The list lags: an instance that hears nobody may have missed whoever came since.
-        let answered = |word: &HeartbeatOutcome| matches!(word, HeartbeatOutcome::Answered { .. });
-        let alone = listed > 0 && !self.words.values().any(answered);
-        if unanimous && !alone && self.is_store_down(now) {
-            self.prove(round_at);
+        let has_answered =
+            |outcome: &HeartbeatOutcome| matches!(outcome, HeartbeatOutcome::Answered { .. });
+        let isolated = peer_count > 0 && !self.outcomes.values().any(has_answered);
+        if unanimous && !isolated && self.is_store_down(now) {
+            self.record_validation(round_started_at);
         }
     }
 
     /// Returns the age of the last proof.
     pub fn validation_age(&self, now: Instant) -> Option<Duration> {
-        self.proved_at.map(|at| now.saturating_duration_since(at))
+        self.validated_at.map(|at| now.saturating_duration_since(at))
     }
 
     /// Returns the time up to which the version may be acted on.
     pub fn valid_until(&self) -> Option<Instant> {
-        self.proved_at.map(|at| at + VALIDATION_TTL)
+        self.validated_at.map(|at| at + VALIDATION_TTL)
     }
 
     /// Tells whether the version may be acted on at `now`.
@@ -141,7 +143,7 @@
         self.version > 0 && self.valid_until().is_some_and(|until| now <= until)
     }
 
-    fn prove(&mut self, at: Instant) {
-        self.proved_at = self.proved_at.max(Some(at));
+    fn record_validation(&mut self, at: Instant) {
+        self.validated_at = self.validated_at.max(Some(at));
     }
 }
