--- a/crates/coord/src/failover.rs
+++ b/crates/coord/src/failover.rs
@@ -1,80 +1,81 @@
-//! Failover of one database group: suspicion, fencing, promotion and healing.
+//! Failover of one database group: failure detection, fencing, promotion and reattaching members.
 //!
-//! Safety rests on the members' terms: a promotion needs the fence of a majority, and the fenced
-//! member with the highest position wins. Timers and ranks only decide how soon and by whom.
+//! Safety relies on the members' terms: a promotion needs the fence of a majority, and the fenced
+//! member with the most advanced log is promoted. Timers and ranks only affect when a promotion
+//! starts and which instance runs it.
 
 use std::time::{Duration, Instant};
 
 use state::position::{LogPosition, MemberRole, MemberStatus};
 
-/// Time without a sign of the primary after which it is suspected.
+/// Time without contact to the primary after which it is suspected to have failed.
 pub const PRIMARY_TIMEOUT: Duration = Duration::from_millis(700);
-/// Age above which a status says nothing about the present.
+/// Time for which a status counts as current.
 const STATUS_TTL: Duration = Duration::from_millis(250);
-/// Time by which an instance holds back for each instance that ranks before it.
+/// Additional delay for each instance that ranks before this one.
 pub const RANK_DELAY: Duration = Duration::from_millis(150);
-/// Time that one step of a promotion may take.
+/// Time within which the answers to one step of a promotion must arrive.
 const PROMOTION_STEP_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time for which a member fenced above the primary's term is left alone before a new term.
+/// Time that a member fenced above the primary's term gets before a new term is started for it.
 const HIGHER_TERM_GRACE_PERIOD: Duration = Duration::from_secs(2);
-/// Time between two follow commands to the same member.
+/// Period between follow commands to the same member.
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Index of a member in its group.
 pub type MemberIndex = usize;
 
-/// Input of the machine.
+/// Input of the failover machine.
 #[derive(Clone, Debug)]
 pub enum FailoverEvent {
     /// A member answered with its status.
     Status(MemberIndex, MemberStatus),
-    /// A member did not answer on a fresh connection.
+    /// A member did not answer on a new connection.
     Unreachable(MemberIndex),
-    /// Other availability zones were asked whether they reach the primary.
+    /// Other availability zones answered an indirect probe of a member.
     ProbedIndirectly {
-        /// Member that they were asked about.
+        /// Member that was probed.
         member: MemberIndex,
-        /// Availability zones that do not reach it.
+        /// Number of availability zones that cannot reach it.
         unreachable_zones: usize,
-        /// Availability zones that reach it.
+        /// Number of availability zones that can reach it.
         reachable_zones: usize,
     },
-    /// A member answered a fence; none if it refused or did not answer.
+    /// A member answered a fence of a term; none if it refused or did not answer.
     FenceAnswered(MemberIndex, u64, Option<MemberStatus>),
-    /// A member answered a promotion.
+    /// A member answered a promotion to a term; none if it refused or did not answer.
     PromotionAnswered(MemberIndex, u64, Option<MemberStatus>),
     /// Time passed.
     Tick,
 }
 
-/// Output of the machine.
+/// Output of the failover machine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FailoverEffect {
-    /// Ask the other availability zones whether they reach a member.
+    /// Ask the other availability zones whether they can reach a member.
     ProbeIndirectly(MemberIndex),
-    /// Send a fence.
+    /// Send a fence with a term.
     Fence(MemberIndex, u64),
-    /// Send a promotion.
+    /// Send a promotion with a term.
     Promote(MemberIndex, u64),
-    /// Tell a member to follow the primary of a term.
+    /// Command a member to follow the primary of a term.
     Follow {
-        /// Member that is told.
+        /// Member to command.
         member: MemberIndex,
         /// Term of the primary.
         term: u64,
-        /// Member that is the primary.
+        /// Index of the primary.
         primary: MemberIndex,
     },
     /// Record a finished promotion in the table service.
     RecordPromotion {
         /// Term of the primary.
         term: u64,
-        /// Member that is the primary.
+        /// Index of the primary.
         primary: MemberIndex,
     },
 }
 
-/// Last knowledge of a member.
+/// Last status and reachability of a member.
 #[derive(Clone, Copy, Debug, Default)]
 struct MemberState {
     status: Option<MemberStatus>,
@@ -97,18 +98,18 @@
     }
 }
 
-/// Step of a promotion under way.
+/// Phase of a promotion.
 #[derive(Clone, Debug)]
 enum PromotionPhase {
-    /// No promotion is under way.
+    /// No promotion is in progress.
     Idle,
-    /// Fences were sent.
+    /// Fences were sent; collects the answers.
     Fencing { term: u64, since: Instant, fenced: Vec<Option<MemberStatus>> },
-    /// A promotion was sent.
+    /// The promotion was sent to the candidate.
     Promoting { term: u64, since: Instant, candidate: MemberIndex },
 }
 
-/// Answer of other availability zones.
+/// Result of an indirect probe through other availability zones.
 #[derive(Clone, Copy, Debug)]
 struct IndirectProbeResult {
     member: MemberIndex,
@@ -117,7 +118,7 @@
     received_at: Instant,
 }
 
-/// Failover decisions of one instance for one group.
+/// Failover state machine of one instance for one group.
 #[derive(Clone, Debug)]
 pub struct FailoverMachine {
     members: Vec<MemberState>,
@@ -145,12 +146,12 @@
         }
     }
 
-    /// Sets the place of this instance among those that may promote, zero for the first.
+    /// Sets the rank of this instance among those that may promote; zero acts first.
     pub fn set_rank(&mut self, rank: usize) {
         self.rank = rank;
     }
 
-    /// Returns the primary of the highest term that answers at present.
+    /// Returns the primary with the highest term among members whose status is current.
     pub fn primary(&self, now: Instant) -> Option<(MemberIndex, u64)> {
         let fresh = self.members.iter().enumerate();
         let primaries = fresh.filter_map(|(index, member)| {
@@ -161,12 +162,12 @@
         primaries.max_by_key(|(_, term)| *term)
     }
 
-    /// Tells whether a promotion of this instance is under way.
+    /// Returns whether this instance has a promotion in progress.
     pub fn is_promoting(&self) -> bool {
         !matches!(self.phase, PromotionPhase::Idle)
     }
 
-    /// Takes an event and returns what to do.
+    /// Processes an event and returns the resulting effects.
     pub fn handle(&mut self, event: FailoverEvent, now: Instant) -> Vec<FailoverEffect> {
         match event {
             FailoverEvent::Status(index, status) => self.record_status(index, status, now),
@@ -219,7 +220,7 @@
         effects
     }
 
-    /// Asks other availability zones once the primary is lost to this instance.
+    /// Requests an indirect probe once this instance cannot reach the primary.
     fn request_indirect_probe(&mut self, now: Instant) -> Option<FailoverEffect> {
         let unreachable = self.unreachable_primary(now)?;
         let recent = self
@@ -232,7 +233,7 @@
         Some(FailoverEffect::ProbeIndirectly(unreachable))
     }
 
-    /// Returns the last known primary if it has been lost to this instance for long.
+    /// Returns the last known primary if it has been unreachable for [`PRIMARY_TIMEOUT`].
     fn unreachable_primary(&self, now: Instant) -> Option<MemberIndex> {
         let known = self.members.iter().enumerate().filter_map(|(index, member)| {
             let status = member.status?;
@@ -260,14 +261,15 @@
             || has_elapsed(self.higher_term_since, HIGHER_TERM_GRACE_PERIOD + rank_delay)
     }
 
-    /// Tells whether a majority of the group answers and has not heard a primary for long.
+    /// Returns whether a majority of the group answers but has lost contact to the primary.
     ///
-    /// Their word is enough: no primary can have its commits confirmed without them.
+    /// This suffices to suspect the primary: without these members it cannot commit.
     fn majority_lost_primary(&self, now: Instant) -> bool {
         self.members_without_primary(now).len() >= self.majority()
     }
 
-    /// Returns the members that answer and have not heard a primary for long.
+    /// Returns the members that answer but have had no contact to a primary for
+    /// [`PRIMARY_TIMEOUT`].
     fn members_without_primary(&self, now: Instant) -> Vec<MemberIndex> {
         let lost_primary = |member: &MemberState| {
             member.fresh_status(now).is_some_and(|status| {
@@ -278,8 +280,10 @@
         (0..self.members.len()).filter(|index| lost_primary(&self.members[*index])).collect()
     }
 
-    /// Tells whether this instance and at least one other availability zone lost the primary, and
-    /// no availability zone reaches it, though its replicas may.
+    /// Returns whether the primary is unreachable from this instance and from at least one other
+    /// availability zone, and reachable from none.
+    ///
+    /// Its replicas may still reach it.
     fn is_primary_unreachable(&self, now: Instant) -> bool {
         let Some(unreachable) = self.unreachable_primary(now) else {
             return false;
@@ -292,7 +296,8 @@
         })
     }
 
-    /// Tells whether a member was fenced above the primary's term and so is lost to the group.
+    /// Returns whether a member was fenced above the primary's term, so that it rejects this
+    /// primary.
     fn has_higher_term(&self, now: Instant) -> bool {
         let Some((_, term)) = self.primary(now) else {
             return false;
@@ -304,8 +309,8 @@
     }
 
     fn start_promotion(&mut self, now: Instant) -> Vec<FailoverEffect> {
-        // A primary that its replicas do not hear must not be counted in: with the highest position
-        // it would be promoted again and stay cut off.
+        // A primary that cannot reach its replicas must be excluded: with the most advanced log it
+        // would be promoted again and stay partitioned.
         let mut reachable = self.members_without_primary(now);
         if reachable.len() < self.majority() {
             let fresh = |index: &MemberIndex| self.members[*index].is_fresh(now);
@@ -371,7 +376,8 @@
         self.phase = PromotionPhase::Idle;
         self.suspected_since = None;
         self.higher_term_since = None;
-        // The replicas have not heard the new primary yet; their silence must not count.
+        // The replicas have had no contact to the new primary yet, which must not count as its
+        // failure.
         self.backoff_until = Some(now + PRIMARY_TIMEOUT);
         self.record_status(index, status, now);
         let others = (0..self.members.len()).filter(|other| *other != index);
@@ -385,14 +391,14 @@
             .collect()
     }
 
-    /// Gives up a promotion; the next try comes later for those that rank behind.
+    /// Aborts a promotion. The next attempt starts later on instances with a higher rank number.
     fn abort_promotion(&mut self, now: Instant) {
         self.phase = PromotionPhase::Idle;
         self.suspected_since = None;
         self.backoff_until = Some(now + RANK_DELAY * (self.rank as u32 + 1) / 2);
     }
 
-    /// Tells members that do not follow the primary to do so.
+    /// Returns follow commands for members that do not replicate from the primary.
     fn follow_effects(&mut self, now: Instant) -> Vec<FailoverEffect> {
         let Some((primary, term)) = self.primary(now) else {
             return Vec::new();
@@ -409,8 +415,8 @@
                 member.follow_sent_at = None;
                 continue;
             }
-            // The first sight starts the wait, so instances that rank behind stay silent while
-            // those before them do the work.
+            // The wait starts when the member is first seen out of line, so instances that rank
+            // later send nothing while those before them act.
             let since = *member.follow_sent_at.get_or_insert(now - FOLLOW_INTERVAL);
             if now.saturating_duration_since(since) >= interval {
                 member.follow_sent_at = Some(now);
--- a/crates/coord/src/freshness.rs
+++ b/crates/coord/src/freshness.rs
@@ -1,24 +1,24 @@
-//! Bounds on the age of replicas, without comparing clocks of different machines.
+//! Upper bounds on the staleness of replicas, without comparing clocks of different hosts.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use state::position::{LogPosition, MemberPosition};
 
-/// Primary positions kept; at one every 50 ms they reach back about 13 s.
+/// Kept primary positions; at one every 50 ms they cover about 13 s.
 const MAX_WATERMARKS: usize = 256;
 
-/// Primary position proved current at or after a local time.
+/// Position of the primary that includes every commit acknowledged before a local time.
 #[derive(Clone, Copy, Debug)]
 struct PrimaryWatermark {
     as_of: Instant,
     position: LogPosition,
 }
 
-/// Tracks up to which local time each replica of one database is known to be complete.
+/// Tracks for each replica of a database the local time up to which its data is complete.
 ///
-/// A replica that covers a position the primary proved to a question asked at `t` shows every
-/// write acknowledged before `t`.
+/// A replica that has reached a position which the primary returned to a request sent at `t` shows
+/// every write acknowledged before `t`.
 #[derive(Clone, Debug, Default)]
 pub struct FreshnessTracker {
     watermarks: VecDeque<PrimaryWatermark>,
@@ -26,12 +26,12 @@
 }
 
 impl FreshnessTracker {
-    /// Creates a tracker for `members` members.
+    /// Creates a tracker for a group of `members` members.
     pub fn new(members: usize) -> Self {
         Self { watermarks: VecDeque::new(), fresh_as_of: vec![None; members] }
     }
 
-    /// Records that the primary proved `position` to a question asked at `asked_at`.
+    /// Records that the primary returned `position` to a request sent at `sent_at`.
     pub fn record_primary(&mut self, sent_at: Instant, position: LogPosition) {
         if self.watermarks.back().is_some_and(|last| last.as_of >= sent_at) {
             return;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Records the position of a member and raises the time up to which it is complete.
+    /// Records the position of a member and advances the time up to which its data is complete.
     pub fn record_member(&mut self, member: usize, position: &MemberPosition) {
         let covered = |watermark: &&PrimaryWatermark| position.covers(watermark.position);
         let latest = self.watermarks.iter().rev().find(covered).map(|watermark| watermark.as_of);
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Returns the local time up to which a member is known to be complete.
+    /// Returns the local time up to which a member's data is known to be complete.
     pub fn fresh_as_of(&self, member: usize) -> Option<Instant> {
         self.fresh_as_of.get(member).copied().flatten()
     }
 
-    /// Returns the greatest age that the data of a member can have.
+    /// Returns an upper bound on the staleness of a member's data.
     pub fn staleness_bound(&self, member: usize, now: Instant) -> Option<Duration> {
         self.fresh_as_of(member).map(|fresh_as_of| now.saturating_duration_since(fresh_as_of))
     }
--- a/crates/coord/src/ledger.rs
+++ b/crates/coord/src/ledger.rs
@@ -1,60 +1,63 @@
-//! Ledger of a team's allotments: shares of rate and burst that instances hold and move.
+//! Ledger of the shares of a team's rate and burst that instances hold and transfer.
 //!
-//! The shares of all instances never add up to more than the whole. A share moves by cumulative
-//! totals: the giver shrinks and raises the total given to the taker, and the taker grows by the
-//! difference to the total it has taken. Lost, repeated or reordered messages change nothing.
-//! Shares lost with an instance come back by a new epoch: every holder reports its share while it
-//! enters the epoch, and what nobody reports is issued again once the old epoch has run out. A
-//! report may be lost on its way, so a reported share is provisional until the issuer says that it
-//! was counted: it can be used while the proof of the old epoch lasts, but not passed on.
+//! The shares of all instances never add up to more than the full share. A transfer uses cumulative
+//! totals: the donor shrinks its share and raises the total granted to the recipient, and the
+//! recipient grows by the difference to the total that it has received. Lost, duplicated or
+//! reordered messages change nothing.
+//!
+//! Shares lost with an instance are recovered by a new epoch: every instance reports its shares as
+//! it enters the epoch, and unreported shares are issued again once the validation of the old epoch
+//! has expired. A report can be lost, so a reported share is provisional until the issuer confirms
+//! that it was counted: it may be used while the old epoch is valid, but not transferred.
 
 use std::collections::HashMap;
 
 use slotmap::SecondaryMap;
 use state::catalog::TeamKey;
 
-/// The whole of a team's rate and burst, in parts.
+/// Full rate and burst of a team, in millionths; shares are counted in this unit.
 pub const FULL_SHARE: u64 = 1_000_000;
-/// Demand below which an instance still keeps a share, as a part of the whole.
+/// Demand assumed at least, as a fraction of the team's rate, so that an idle instance keeps a
+/// share.
 const MIN_DEMAND: f64 = 0.005;
-/// Smallest part that is worth moving.
+/// Smallest share worth a transfer.
 const MIN_TRANSFER: u64 = FULL_SHARE / 1_000;
-/// Part of its headroom that a giver keeps.
+/// Weight of a donor's own demand, so that it keeps 5 % more share per demand than the recipient.
 const DONOR_HEADROOM: f64 = 1.05;
 
-/// Share that a taker gets at most, as a multiple of its stated demand.
+/// Upper bound on a recipient's share, as a multiple of its demand.
 const RECIPIENT_HEADROOM: f64 = 1.5;
 
-/// Number drawn by an instance when it starts.
+/// Random number that an instance draws at its start.
 pub type Incarnation = u64;
 
-/// Cumulative totals moved from one instance to another in one epoch.
+/// Cumulative totals transferred from one instance to another in one epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TransferTotals {
-    /// Parts moved so far.
+    /// Share transferred so far, in millionths.
     pub share: u64,
-    /// Tokens moved so far.
+    /// Tokens transferred so far.
     pub tokens: f64,
 }
 
-/// Increase that an instance takes from a message.
+/// Increase that an instance receives with a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceivedGrant {
-    /// Parts by which the share grew.
+    /// Increase of the share, in millionths.
     pub share: u64,
-    /// Tokens that came with them.
+    /// Tokens that came with it.
     pub tokens: f64,
 }
 
-/// Account of one team on one instance.
+/// Shares of one team on one instance.
 #[derive(Clone, Debug, Default)]
 struct ShareAccount {
-    /// Parts issued to this instance in the current epoch.
+    /// Share issued to this instance in the current epoch, in millionths.
     issued: u64,
     granted: HashMap<Incarnation, TransferTotals>,
     received: HashMap<Incarnation, TransferTotals>,
     acknowledged: HashMap<Incarnation, u64>,
-    /// Statements a second that callers ask for, as a part of the team's rate.
+    /// Requested statements per second, as a fraction of the team's rate.
     demand: f64,
 }
 
@@ -66,54 +69,55 @@
     }
 }
 
-/// Shares of one instance.
+/// Shares that one instance holds of all teams.
 #[derive(Clone, Debug, Default)]
 pub struct ShareLedger {
     epoch: u64,
     accounts: SecondaryMap<TeamKey, ShareAccount>,
-    /// What was reported when the epoch was entered, so a repeated question gets the same answer.
+    /// Report made on entering the epoch, so that a repeated request gets the same answer.
     reported: Vec<(TeamKey, u64)>,
-    /// Last epoch for which this instance issued what nobody reported.
+    /// Last epoch for which this instance claimed the issuance of unreported shares.
     issued_epoch: u64,
     provisional: bool,
 }
 
 impl ShareLedger {
-    /// Returns the epoch of the shares.
+    /// Returns the current epoch.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Returns the share of a team.
+    /// Returns the share of a team in millionths.
     pub fn share(&self, team: TeamKey) -> u64 {
         self.accounts.get(team).map_or(0, ShareAccount::share)
     }
 
-    /// Sets what callers ask for, as a part of the team's rate.
+    /// Sets the demand of a team's callers, as a fraction of the team's rate.
     pub fn set_demand(&mut self, team: TeamKey, demand: f64) {
         self.account(team).demand = demand;
     }
 
-    /// Returns what callers ask for, as a part of the team's rate.
+    /// Returns the demand of a team's callers, as a fraction of the team's rate.
     pub fn demand(&self, team: TeamKey) -> f64 {
         self.accounts.get(team).map_or(0.0, |account| account.demand)
     }
 
-    /// Forgets a team that is no longer declared.
+    /// Removes a team that is no longer configured.
     pub fn remove(&mut self, team: TeamKey) {
         self.accounts.remove(team);
     }
 
-    /// Enters a higher epoch with the shares held now, and returns the report of them.
+    /// Enters a higher epoch with the currently held shares and returns their report.
     ///
-    /// A question that was answered before gets the same report; one about a lower epoch none.
+    /// Returns the same report again for the current epoch, and none for a lower one.
     pub fn enter_epoch(&mut self, epoch: u64) -> Option<&[(TeamKey, u64)]> {
         if epoch < self.epoch {
             return None;
         }
         if epoch > self.epoch {
             if self.provisional || epoch > self.epoch + 1 {
-                // Shares that the last issuer may have issued again must not count for this one.
+                // The previous issuer may have issued these shares again, so the new one must not
+                // count them.
                 self.drop_shares();
             }
             self.epoch = epoch;
@@ -123,7 +127,7 @@
         Some(&self.reported)
     }
 
-    /// Records that the issuer counted the report of this epoch.
+    /// Records that the issuer counted this instance's report; returns false for another epoch.
     pub fn mark_epoch_counted(&mut self, epoch: u64) -> bool {
         let is_current = epoch == self.epoch;
         if is_current {
@@ -132,12 +136,12 @@
         is_current
     }
 
-    /// Tells whether the shares were reported and may not have been counted.
+    /// Returns whether the shares were reported and are not known to have been counted.
     pub fn is_provisional(&self) -> bool {
         self.provisional
     }
 
-    /// Loses every share and stands in `epoch`, without a report or with one not counted in time.
+    /// Enters `epoch` without any share, because no report was made or it was not counted in time.
     pub fn forfeit_epoch(&mut self, epoch: u64) {
         let uncounted = epoch == self.epoch && self.provisional;
         if epoch <= self.epoch && !uncounted {
@@ -155,7 +159,7 @@
         self.reported.clear();
     }
 
-    /// Claims the right to issue what nobody reported in the current epoch, at most once.
+    /// Claims the issuance of unreported shares for the current epoch; succeeds at most once.
     pub fn claim_issuance(&mut self, epoch: u64) -> bool {
         if epoch != self.epoch || epoch <= self.issued_epoch {
             return false;
@@ -164,12 +168,12 @@
         true
     }
 
-    /// Adds parts that nobody holds in the current epoch.
+    /// Adds a share that no instance holds in the current epoch.
     pub fn issue(&mut self, team: TeamKey, share: u64) {
         self.account(team).issued += share;
     }
 
-    /// Returns the parts that a taker gets when it asks: afterwards giver and taker have about the
+    /// Returns the share to grant to a recipient, after which donor and recipient have about the
     /// same ratio of share to demand.
     pub fn plan_grant(&self, team: TeamKey, recipient_share: u64, recipient_demand: f64) -> u64 {
         let Some(account) = self.accounts.get(team).filter(|_| !self.provisional) else {
@@ -178,7 +182,8 @@
         fair_grant(account.share(), account.demand, recipient_share, recipient_demand)
     }
 
-    /// Moves parts and the tokens taken from the bucket for them, and returns the totals to send.
+    /// Transfers a share with the tokens taken from the bucket for it, and returns the totals to
+    /// send.
     ///
     /// The bucket must have shrunk before the totals are sent.
     pub fn grant(
@@ -199,7 +204,9 @@
         *totals
     }
 
-    /// Takes what a giver's totals add to those taken before, in the same epoch only.
+    /// Receives the difference between a donor's totals and those received before.
+    ///
+    /// Returns none for another epoch or if nothing is new.
     pub fn receive_grant(
         &mut self,
         team: TeamKey,
@@ -220,7 +227,7 @@
         Some(ReceivedGrant { share, tokens })
     }
 
-    /// Records that a taker has taken parts up to `share`, in the same epoch only.
+    /// Records that a recipient has received a total share of `share`; ignored for another epoch.
     pub fn record_acknowledgement(
         &mut self,
         team: TeamKey,
@@ -234,7 +241,7 @@
         }
     }
 
-    /// Returns the totals that a taker has not acknowledged yet.
+    /// Returns the totals that a recipient has not acknowledged yet.
     pub fn unacknowledged(&self, recipient: Incarnation) -> Vec<(TeamKey, TransferTotals)> {
         let pending = |(team, account): (TeamKey, &ShareAccount)| {
             let totals = account.granted.get(&recipient).copied()?;
@@ -244,7 +251,7 @@
         self.accounts.iter().filter_map(pending).collect()
     }
 
-    /// Returns the parts taken from a giver, by which it learns what arrived.
+    /// Returns the total share received from a donor, which acknowledges its grants.
     pub fn received_from(&self, team: TeamKey, donor: Incarnation) -> u64 {
         let account = self.accounts.get(team);
         account.and_then(|account| account.received.get(&donor)).map_or(0, |totals| totals.share)
@@ -257,7 +264,7 @@
         &mut self.accounts[team]
     }
 
-    /// Replaces every account by its share, which is issued anew in the next epoch.
+    /// Replaces each account by its share, which counts as issued in the next epoch.
     fn consolidate(&mut self) -> Vec<(TeamKey, u64)> {
         let mut report = Vec::new();
         for (team, account) in &mut self.accounts {
@@ -272,11 +279,11 @@
     }
 }
 
-/// Returns the part by which the giver's and the taker's ratios of share to demand become equal,
-/// but no more than the taker needs.
+/// Returns the share whose transfer makes the donor's and the recipient's ratios of share to demand
+/// equal, but no more than the recipient needs.
 ///
-/// Without the second bound an idle giver would part with nearly all at the first question, and
-/// those who ask next would find nothing.
+/// Without the second bound an idle donor would grant nearly its whole share to the first
+/// recipient, and later ones would get nothing.
 pub fn fair_grant(
     donor_share: u64,
     donor_demand: f64,
--- a/crates/coord/src/lib.rs
+++ b/crates/coord/src/lib.rs
@@ -1,7 +1,7 @@
-//! Coordination layer: decisions as deterministic state machines.
+//! Coordination layer: failover, quotas, queues and placement as deterministic state machines.
 //!
-//! An event and the time go in, decisions or effects come out. Nothing here performs input or
-//! output, reads a clock or starts a thread; random numbers come from a generator passed in.
+//! Each takes an event and the current time, and returns decisions or effects. None performs I/O,
+//! reads a clock, starts a thread or draws random numbers of its own.
 
 pub mod failover;
 pub mod freshness;
--- a/crates/coord/src/placement.rs
+++ b/crates/coord/src/placement.rs
@@ -1,7 +1,7 @@
-//! Choice of the endpoint that runs a statement and of the instance that holds its connections.
+//! Choice of the endpoint that executes a statement and of the instance that owns its connections.
 //!
-//! Load pattern: slots are few and replicas lag by turns. A read goes to the replica that is
-//! expected to answer first: its queue, the way to it and the time until it has the position.
+//! Slots are few and replicas lag at different times. A read goes to the endpoint that is expected
+//! to answer first, by queue delay, zone distance and time until it has the required position.
 
 use std::time::{Duration, Instant};
 
@@ -9,43 +9,46 @@
 
 use crate::rendezvous;
 
-/// Time for which an endpoint that failed is passed over, unless no other is left.
+/// Time for which an endpoint is tried last after it failed.
 const FAILURE_BACKOFF: Duration = Duration::from_millis(400);
-/// Time after which an observation of an endpoint's queue tells nothing.
+/// Time after which a reported queue delay is ignored.
 const QUEUE_DELAY_TTL: Duration = Duration::from_millis(250);
-/// Time for which a member that refused to lead is tried last for writes.
+/// Time for which a member is tried last for writes after it refused to lead.
 const NOT_LEADER_TTL: Duration = Duration::from_millis(250);
-/// Cost of a hop to another availability zone, beside its delay: bytes between zones are dear.
+/// Cost of a hop to another availability zone beyond its latency, because cross-zone traffic is
+/// expensive.
 const CROSS_ZONE_COST: Duration = Duration::from_millis(6);
-/// Wait assumed for a replica that lacks the position and whose lag is not known.
+/// Wait assumed for a replica that lacks the required position, as its lag is not known.
 const UNKNOWN_LAG_WAIT: Duration = Duration::from_millis(60);
-/// Part of a stated lag beyond which waiting for a replica is not worth while.
+/// Age at which a reported position no longer counts as lagging.
 const POSITION_TTL: Duration = Duration::from_millis(40);
 
-/// What an instance knows of one endpoint.
+/// View that an instance has of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointView {
-    /// Position that the endpoint's reads reached last, with the time of the answer.
+    /// Last position reached by the endpoint's reads, and the time of the answer.
     pub position: Option<(LogPosition, Instant)>,
-    /// Queueing time that the holder of its connections stated last.
+    /// Queue delay that the connection owner reported last, and the time of the report.
     pub queue_delay: Option<(Duration, Instant)>,
-    /// Time of the last failure to reach it.
+    /// Time of the last failure to reach the endpoint.
     pub failed_at: Option<Instant>,
-    /// Time at which it last refused to lead.
+    /// Time at which the endpoint last refused to lead.
     pub not_leader_at: Option<Instant>,
 }
 
 impl EndpointView {
-    /// Tells whether the endpoint failed a moment ago.
+    /// Returns whether the endpoint failed so recently that it is tried last.
     pub fn failed_recently(&self, now: Instant) -> bool {
         happened_within(self.failed_at, FAILURE_BACKOFF, now)
     }
 
-    /// Tells whether the endpoint said a moment ago that it does not lead.
+    /// Returns whether the endpoint refused to lead so recently that writes try it last.
     pub fn is_follower(&self, now: Instant) -> bool {
         happened_within(self.not_leader_at, NOT_LEADER_TTL, now)
     }
 
+    /// Returns the last reported queue delay less half of the time since then, or zero once
+    /// expired.
     fn expected_queue_delay(&self, now: Instant) -> Duration {
         let Some((wait, at)) = self.queue_delay else {
             return Duration::ZERO;
@@ -55,6 +58,7 @@
         )
     }
 
+    /// Returns the expected wait until the endpoint's reads reach `needed`.
     fn catch_up_wait(&self, needed: Option<LogPosition>, now: Instant) -> Duration {
         let Some(needed) = needed else {
             return Duration::ZERO;
@@ -71,20 +75,21 @@
     at.is_some_and(|at| now.saturating_duration_since(at) < span)
 }
 
-/// Endpoint among which a read chooses.
+/// Endpoint that may serve a read.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadCandidate {
-    /// What is known of it.
+    /// View of the endpoint.
     pub view: EndpointView,
-    /// Tells whether it lies in the caller's availability zone.
+    /// The endpoint is in the caller's availability zone.
     pub same_zone: bool,
-    /// Tells whether it leads its service.
+    /// The endpoint leads its service.
     pub leads: bool,
 }
 
-/// Returns the candidates from best to worst for a read that needs `needed`.
+/// Returns the indices of the candidates from best to worst for a read that requires `needed`.
 ///
-/// Without a position only the leader serves, because only it can prove that it is current.
+/// Without a required position only the leader can serve the read, because only it can show that
+/// its data is current.
 pub fn order_for_read(
     candidates: &[ReadCandidate],
     needed: Option<LogPosition>,
@@ -92,7 +97,7 @@
 ) -> Vec<usize> {
     let cost = |candidate: &ReadCandidate| {
         let zone_cost = if candidate.same_zone { Duration::ZERO } else { CROSS_ZONE_COST };
-        // Writes run only on the leader; reads leave its slots to them.
+        // Writes run only on the leader, so reads leave its slots to them.
         let leader_cost = if candidate.leads { 2 * CROSS_ZONE_COST } else { Duration::ZERO };
         let lag = if candidate.leads {
             Duration::ZERO
@@ -110,16 +115,16 @@
     order
 }
 
-/// Instance that may hold an endpoint's connections.
+/// Instance that may own an endpoint's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnerCandidate<'a> {
     /// Name of the instance.
     pub name: &'a str,
-    /// Tells whether it lies in the endpoint's availability zone.
+    /// The instance is in the endpoint's availability zone.
     pub same_zone: bool,
 }
 
-/// Returns the instances that may hold an endpoint's connections, the first choice first.
+/// Returns the instances that may own an endpoint's connections, the preferred one first.
 pub fn order_owners<'a>(endpoint: &str, candidates: &[OwnerCandidate<'a>]) -> Vec<&'a str> {
     let mut order: Vec<&OwnerCandidate<'a>> = candidates.iter().collect();
     order.sort_by_key(|candidate| {
@@ -128,45 +133,48 @@
     order.into_iter().map(|candidate| candidate.name).collect()
 }
 
-/// Part of an endpoint's connections that its holders leave free, as a divisor: for probes and for
-/// the moments in which two instances take themselves for the holder.
+/// Divisor for the fraction of an endpoint's connections that owners leave free: for probes, and
+/// for the moments in which two instances both act as the owner.
 const SPARE_CONNECTION_DIVISOR: usize = 6;
 
-/// Returns the connections that a holder may open to an endpoint which takes `connections`.
+/// Returns the number of connections that an owner may open to an endpoint which accepts
+/// `connections`.
 ///
-/// Load pattern: a partition leaves several holders of one endpoint, and each opens what it needs
-/// until the endpoint resets whatever is beyond its cap. Each side takes the part that its
-/// instances are of all registered ones, `reach`, so the sides together stay within the cap.
+/// A partition leaves several owners of one endpoint, and if each opened what it needs, the
+/// endpoint would reset those beyond its limit. Each side therefore uses only `reachable_fraction`,
+/// the fraction of all registered instances on its side, so that all sides together stay within the
+/// limit.
 pub fn connection_limit(connections: usize, reachable_fraction: f64) -> usize {
     let usable = connections - connections / SPARE_CONNECTION_DIVISOR;
     ((usable as f64 * reachable_fraction) as usize).max(1)
 }
 
-/// Standing of a connection without work.
+/// Kind of an idle connection, which decides how long it is kept.
 ///
-/// Load pattern: all instances lose power at once. The endpoint counts their connections until it
-/// notices, for seconds, and whoever takes over works with what was left free. A team that needed
-/// several connections for a moment soon keeps one only.
+/// When all instances lose power at once, the endpoint counts their connections for seconds until
+/// it notices, and the new owners work with what was left free. A team that briefly needed several
+/// connections therefore soon keeps only one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum IdleConnectionKind {
-    /// The only one of its team, or the one that it used last.
+    /// The only connection of its team, or the one that the team used last.
     LastUsed,
-    /// Its team has used another one since.
+    /// The team has used another connection since.
     Surplus,
-    /// Another instance now holds the connections of the endpoint.
+    /// Another instance now owns the connections of the endpoint.
     Moved,
 }
 
-/// Rest of a team's last connection: opening one takes a slot for as long as two statements do.
+/// Idle timeout of a team's last connection; opening one occupies a slot for as long as two
+/// statements do.
 const LAST_USED_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Rest of a connection that its team did not need for so long.
+/// Idle timeout of a connection that its team does not need besides the last one.
 const SURPLUS_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Rest of a connection whose endpoint moved: its new holder needs the place, but may be gone
-/// again in a moment.
+/// Idle timeout after the endpoint moved to another owner, which needs the slot but may lose the
+/// ownership again soon.
 const MOVED_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl IdleConnectionKind {
-    /// Returns the time without work after which the connection is closed.
+    /// Returns the idle time after which the connection is closed.
     pub fn idle_timeout(self) -> Duration {
         match self {
             Self::LastUsed => LAST_USED_IDLE_TIMEOUT,
--- a/crates/coord/src/priority.rs
+++ b/crates/coord/src/priority.rs
@@ -1,8 +1,8 @@
-//! Queue before an endpoint: urgent requests first, teams fair among those of one urgency.
+//! Queue in front of an endpoint: by priority, and fair between the teams of one priority.
 //!
-//! Load pattern: more requests arrive than the endpoint's slots can run. Served in order of
-//! arrival, all of them would be late. Urgent ones pass, and a request whose wait would use up its
-//! time budget is refused on arrival, so that the others are in time.
+//! When more requests arrive than the endpoint's slots can execute, all would be late if served in
+//! order of arrival. Requests of higher priority go first, and a request whose expected wait
+//! exceeds its time budget is refused on arrival, so that the others are in time.
 
 use std::collections::BTreeMap;
 use std::hash::Hash;
@@ -10,15 +10,15 @@
 
 use crate::queue::{FairQueue, QueueRefusal};
 
-/// Urgency of a request; zero is served first.
+/// Priority of a request; zero is the highest and is served first.
 pub type PriorityLevel = u8;
 
-/// Weight of the newest sample in the smoothed holding time.
+/// Weight of the newest sample in the moving average of hold times.
 const HOLD_TIME_SMOOTHING: f64 = 0.1;
-/// Holding time assumed before the first sample, in seconds.
+/// Hold time assumed before the first sample, in seconds.
 const INITIAL_HOLD_SECONDS: f64 = 0.012;
 
-/// Bounded permits of an endpoint and the requests that wait for them.
+/// Bounded permits of an endpoint and the requests queued for them.
 #[derive(Clone, Debug)]
 pub struct PriorityQueue<T, R> {
     capacity: usize,
@@ -38,29 +38,30 @@
         }
     }
 
-    /// Changes the number of permits; permits in use above it are not taken away.
+    /// Changes the number of permits; permits in use beyond it are not revoked.
     pub fn resize(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
-    /// Returns the permits in use.
+    /// Returns the number of permits in use.
     pub fn in_use(&self) -> usize {
         self.in_use
     }
 
-    /// Returns the requests that wait at `level` or before it.
+    /// Returns the number of requests queued at the priority `level` or a higher one.
     pub fn waiting_up_to(&self, level: PriorityLevel) -> usize {
         self.levels.range(..=level).map(|(_, queue)| queue.waiting()).sum()
     }
 
-    /// Returns the time after which a request of `level` that comes now is expected to start, whatever
-    /// its team.
+    /// Returns the expected wait of a request of `level` that arrives now, for any team.
     pub fn expected_wait(&self, level: PriorityLevel) -> Duration {
         self.wait_for(self.waiting_up_to(level))
     }
 
-    /// Returns the time after which a request of `team` is expected to start: a team that floods the
-    /// queue takes one turn for each of the others.
+    /// Returns the expected wait of a request of `team` that arrives now.
+    ///
+    /// Teams of one priority are served round robin, so a team that floods the queue does not delay
+    /// the others by its whole backlog.
     pub fn expected_team_wait(&self, level: PriorityLevel, team: T) -> Duration {
         let higher_priority: usize =
             self.levels.range(..level).map(|(_, queue)| queue.waiting()).sum();
@@ -76,7 +77,8 @@
         Duration::from_secs_f64((rounds * self.mean_hold_seconds).min(3_600.0))
     }
 
-    /// Takes a permit at once if one is free and nobody of the same urgency waits.
+    /// Acquires a permit at once if one is free and no request of this or a higher priority is
+    /// queued.
     pub fn try_acquire(&mut self, level: PriorityLevel) -> bool {
         let is_free = self.in_use < self.capacity && self.waiting_up_to(level) == 0;
         if is_free {
@@ -85,12 +87,12 @@
         is_free
     }
 
-    /// Takes a permit beyond the capacity, for a transaction that holds a connection already.
+    /// Acquires a permit beyond the capacity, for a transaction that already holds a connection.
     pub fn acquire_pinned(&mut self) {
         self.in_use += 1;
     }
 
-    /// Lets a request wait until `latest_start`, or refuses it because it would start later.
+    /// Queues a request, or refuses it because it is not expected to start by `start_deadline`.
     pub fn push(
         &mut self,
         level: PriorityLevel,
@@ -107,7 +109,7 @@
         queue.push(team, request, start_deadline, now)
     }
 
-    /// Returns a permit after it was held for `held`.
+    /// Releases a permit that was held for `hold_time`.
     pub fn release(&mut self, level: PriorityLevel, team: T, hold_time: Duration) {
         self.in_use = self.in_use.saturating_sub(1);
         self.mean_hold_seconds +=
@@ -117,7 +119,9 @@
         }
     }
 
-    /// Takes the next request that may run; requests past their latest start go to `expired`.
+    /// Removes the next request that may start and acquires a permit for it.
+    ///
+    /// Requests past their start deadline are moved to `expired`.
     pub fn pop(&mut self, now: Instant, expired: &mut Vec<R>) -> Option<R> {
         let is_free = self.in_use < self.capacity;
         let mut next = None;
--- a/crates/coord/src/promotion.rs
+++ b/crates/coord/src/promotion.rs
@@ -1,67 +1,67 @@
-//! Decision to replace a service's leader, and by which member.
+//! Decision whether to replace a service's leader, and by which member.
 //!
-//! A leader is replaced when it leaves, when its registration is gone, or when fresh connections
-//! from two instances fail. One that only some instances cannot reach keeps the lead: the others
-//! hold its connections meanwhile.
+//! A leader is replaced when it is leaving, when it is no longer registered, or when new
+//! connections from two instances fail. A leader that only some instances cannot reach stays: the
+//! others own its connections meanwhile.
 
 use std::time::{Duration, Instant};
 
 use state::position::LogPosition;
 
-/// Time for which the holder of a leader's connections must fail before a takeover is weighed.
+/// Time for which the owner of a leader's connections must fail before the leader is suspected.
 pub const LEADER_GRACE_PERIOD: Duration = Duration::from_millis(300);
-/// Time after which a call for promotion that brought no new leader is made again.
+/// Time after which a promotion that brought no new leader may be requested again.
 const PROMOTION_RETRY_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Time after which probes tell nothing any more.
+/// Time after which the result of a round of probes expires.
 const PROBE_TTL: Duration = Duration::from_millis(900);
-/// Failed rounds of probes after which a leader is replaced.
+/// Consecutive failed rounds of probes after which a leader is replaced.
 const MIN_FAILED_ROUNDS: u32 = 2;
 
-/// Member's own account of itself, from a probe on a fresh connection.
+/// Status that a member reported to a probe on a new connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MemberReport {
-    /// Tells whether it leads.
+    /// The member leads its service.
     pub leads: bool,
-    /// Term that it follows or leads.
+    /// Term in which it follows or leads.
     pub term: u64,
-    /// Position up to which it received the log.
+    /// Last log position that it received.
     pub received: LogPosition,
 }
 
-/// What is known of a member when a takeover is weighed.
+/// Member of a service as observed in the last round of probes.
 #[derive(Clone, Debug)]
 pub struct MemberObservation<'a> {
     /// Name of the member.
     pub name: &'a str,
-    /// Registered and not leaving.
+    /// The member is registered and not leaving.
     pub is_active: bool,
-    /// Answer to the last probe.
+    /// Answer to the last probe; none if there was no answer.
     pub report: Option<MemberReport>,
 }
 
-/// Why a leader is replaced.
+/// Reason for which a leader is replaced.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PromotionCause {
     /// No member leads.
     Missing,
-    /// The leader leaves.
+    /// The leader is leaving.
     Leaving,
-    /// The leader answers nobody.
+    /// No probe reached the leader.
     Dead,
 }
 
-/// What to do about a service.
+/// Decision about a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PromotionDecision {
-    /// Nothing.
+    /// Take no action.
     Wait,
-    /// Probe all members on fresh connections, here and at other instances.
+    /// Probe all members on new connections, from here and from other instances.
     Probe,
-    /// Promote the member of this index.
+    /// Promote the member with this index.
     Promote(usize, PromotionCause),
 }
 
-/// Takeover of one service as weighed by the instance on duty.
+/// Promotion state machine of one service, run by the holder of the promotion lease.
 #[derive(Clone, Debug, Default)]
 pub struct PromotionMachine {
     failed_rounds: u32,
@@ -70,7 +70,8 @@
 }
 
 impl PromotionMachine {
-    /// Tells whether members must be probed before a takeover can be weighed.
+    /// Returns whether members must be probed before a decision: the leader is suspected, and no
+    /// promotion was requested recently.
     pub fn needs_probe(&self, suspected: bool, now: Instant) -> bool {
         let is_promoting = self
             .promotion_requested_at
@@ -78,7 +79,7 @@
         suspected && !is_promoting
     }
 
-    /// Records a round of probes: whether anybody reached the leader.
+    /// Records the result of a round of probes: whether any instance reached the leader.
     pub fn record_probe_round(&mut self, leader_answered: bool, now: Instant) {
         let stale = self.probed_at.is_none_or(|at| now.saturating_duration_since(at) > PROBE_TTL);
         self.failed_rounds = match leader_answered {
@@ -89,16 +90,17 @@
         self.probed_at = Some(now);
     }
 
-    /// Records that a promotion was called for.
+    /// Records that a promotion was requested.
     pub fn record_promotion(&mut self, now: Instant) {
         self.promotion_requested_at = Some(now);
         self.failed_rounds = 0;
     }
 
-    /// Weighs a takeover after a round of probes.
+    /// Decides about a promotion after a round of probes.
     ///
-    /// `synchronous` is the number of replicas that confirm a commit before it is acknowledged;
-    /// an acknowledged commit must be in the member that is promoted.
+    /// `synchronous` is the number of replicas that confirm a commit before it is acknowledged. The
+    /// promoted member must hold every acknowledged commit, so enough members must have answered to
+    /// include one of these replicas.
     pub fn decide(
         &self,
         leader: Option<usize>,
--- a/crates/coord/src/queue.rs
+++ b/crates/coord/src/queue.rs
@@ -1,38 +1,38 @@
-//! Fair queue before a member: deficit round robin over the teams that wait.
+//! Fair queue in front of a member: deficit round robin over the waiting teams.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-/// Requests that one team may have waiting.
+/// Largest number of queued requests of one team.
 pub const MAX_QUEUED_PER_TEAM: usize = 1_024;
-/// Weight of the newest sample in the smoothed holding time.
+/// Weight of the newest sample in the moving average of hold times.
 const HOLD_TIME_SMOOTHING: f64 = 0.1;
 
-/// Refusal of a queue.
+/// Reason for which a queue refuses a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QueueRefusal {
-    /// The team has as many requests waiting as it may.
+    /// The team has reached [`MAX_QUEUED_PER_TEAM`].
     Full,
-    /// The request is not expected to start before its deadline.
+    /// The request is not expected to start before its start deadline.
     DeadlineExceeded {
-        /// Expected time until it would start.
+        /// Expected wait until it would start.
         expected_wait: Duration,
     },
 }
 
-/// Request that waits, with the time up to which starting it makes sense.
+/// Queued request and the latest time at which it may start.
 #[derive(Clone, Debug)]
 struct QueuedRequest<R> {
     request: R,
     start_deadline: Instant,
 }
 
-/// Waiting requests and time account of one team.
+/// Queued requests of one team and its service deficit.
 #[derive(Clone, Debug)]
 struct TeamQueue<R> {
     waiting: VecDeque<QueuedRequest<R>>,
-    /// Time of service by which the team lags behind its fair share, in seconds.
+    /// Service time by which the team is behind its fair share, in seconds.
     deficit: f64,
     running: usize,
 }
@@ -45,9 +45,9 @@
 
 /// Fair queue for a bounded number of permits.
 ///
-/// Teams take turns; a turn is charged with the time for which its permit was held, so a team of
-/// slow statements gets fewer of them. One team alone may hold every permit but one, unless
-/// nobody else used the queue of late.
+/// Teams are served round robin, and each is charged the time for which it held its permits, so a
+/// team of slow statements is served less often. A single team may hold all permits but one, or all
+/// of them if no other team has used the queue recently.
 #[derive(Clone, Debug)]
 pub struct FairQueue<T, R> {
     capacity: usize,
@@ -74,27 +74,27 @@
         }
     }
 
-    /// Changes the number of permits; permits in use above it are not taken away.
+    /// Changes the number of permits; permits in use beyond it are not revoked.
     pub fn resize(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
-    /// Returns the number of permits.
+    /// Returns the number of permits, in use or free.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Returns the permits in use.
+    /// Returns the number of permits in use.
     pub fn in_use(&self) -> usize {
         self.in_use
     }
 
-    /// Returns the requests that wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.teams.values().map(|team| team.waiting.len()).sum()
     }
 
-    /// Takes a permit for `team` at once if one is free for it.
+    /// Acquires a permit for `team` at once if one is free for it and no request is queued.
     pub fn try_acquire(&mut self, team: T, now: Instant) -> bool {
         self.record_sharing(team, now);
         let has_queued = self.teams.get(&team).is_some_and(|queue| !queue.waiting.is_empty());
@@ -105,7 +105,10 @@
         true
     }
 
-    /// Lets a request wait for a permit.
+    /// Queues a request for a permit.
+    ///
+    /// Refuses it if it is not expected to start by `start_deadline` or if the team's queue is
+    /// full.
     pub fn push(
         &mut self,
         team: T,
@@ -128,7 +131,7 @@
         Ok(())
     }
 
-    /// Returns a permit after it was held for `held`.
+    /// Releases a permit that was held for `hold_time`.
     pub fn release(&mut self, team: T, hold_time: Duration) {
         self.in_use = self.in_use.saturating_sub(1);
         let hold_time = hold_time.as_secs_f64();
@@ -143,7 +146,9 @@
         }
     }
 
-    /// Takes the next request that may run; requests past their deadline go to `expired`.
+    /// Removes the next request that may start and acquires a permit for it.
+    ///
+    /// Requests past their start deadline are moved to `expired`.
     pub fn pop(&mut self, now: Instant, expired: &mut Vec<R>) -> Option<(T, R)> {
         self.drop_expired(now, expired);
         let team = self.next_team(now)?;
@@ -156,7 +161,7 @@
         Some((team, next.request))
     }
 
-    /// Returns the time after which a request of `team` that comes now is expected to start.
+    /// Returns the expected wait of a request of `team` that arrives now.
     pub fn expected_wait(&self, team: T) -> Duration {
         let ahead = self.teams.get(&team).map_or(0, |queue| queue.waiting.len());
         let other_teams = self.waiting_teams.iter().filter(|waiting| **waiting != team).count();
@@ -165,15 +170,15 @@
         Duration::from_secs_f64((rounds * self.mean_hold_seconds).clamp(0.0, 3_600.0))
     }
 
-    /// Returns the requests that run before one of `team` that comes now, if teams take turns: those
-    /// of the team, and of each other team as many as there are turns until then.
+    /// Returns how many requests start before one of `team` that arrives now: those of the team
+    /// itself, and as many of each other team as fit in between by round robin.
     pub fn requests_ahead(&self, team: T) -> usize {
         let own = self.teams.get(&team).map_or(0, |queue| queue.waiting.len());
         let other_teams = self.teams.iter().filter(|(other, _)| **other != team);
         own + other_teams.map(|(_, queue)| queue.waiting.len().min(own + 1)).sum::<usize>()
     }
 
-    /// Moves requests past their deadline to `expired`.
+    /// Moves requests past their start deadline to `expired`.
     pub fn expire(&mut self, now: Instant, expired: &mut Vec<R>) {
         self.drop_expired(now, expired);
     }
@@ -190,7 +195,7 @@
         teams.retain(|_, queue| queue.running > 0 || !queue.waiting.is_empty());
     }
 
-    /// Picks the waiting team with the largest account; the order of arrival breaks ties.
+    /// Returns the waiting team with the largest deficit; the order of arrival breaks ties.
     fn next_team(&mut self, now: Instant) -> Option<T> {
         let startable: Vec<T> =
             self.waiting_teams.iter().copied().filter(|team| self.can_start(*team, now)).collect();
@@ -205,7 +210,7 @@
         Some(best)
     }
 
-    /// Moves every account so that the team served next stands at zero.
+    /// Shifts all deficits so that the team served next has a deficit of zero.
     fn normalize_deficits(&mut self, deficit: f64) {
         for queue in self.teams.values_mut() {
             queue.deficit -= deficit;
--- a/crates/coord/src/quota.rs
+++ b/crates/coord/src/quota.rs
@@ -1,77 +1,81 @@
-//! Team limits counted at one instance a team, its counter.
+//! Rate limits of teams, each enforced by one instance, its quota owner.
 //!
-//! Every instance asks the counter of a team, the first in rendezvous order of those it reaches,
-//! before an operation starts. Load pattern: a team sends several times its rate through every
-//! instance at once, while some instances are cut off. Each side of a partition counts for itself,
-//! with the part of the limit that its instances are of all registered ones, so the sides together
-//! stay within the whole. Tokens of a team over its limit go to its urgent operations first: the
-//! others leave a part of the bucket to them. A bucket starts with a
-//! part of the tolerance only whenever the counter may have missed admissions.
+//! Before an operation starts, every instance asks the team's quota owner: the first in rendezvous
+//! order among the instances that it can reach. This holds the limit also when a team sends several
+//! times its rate through all instances at once while some of them are partitioned. Each side of a
+//! partition has its own quota owner, which scales the limit by the fraction of all registered
+//! instances on its side, so that all sides together stay within the limit.
+//!
+//! Operations of a lower priority leave a part of the bucket to those of higher priorities. A
+//! bucket starts with only a part of the tolerated overage if the quota owner may have missed
+//! earlier admissions.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use state::bucket::{BucketDelay, TokenBucket};
 
-/// Pause after which a counter assumes that another one stood in for it.
+/// Gap between updates after which another instance may have become the quota owner meanwhile.
 const OWNERSHIP_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Part of the tolerance that a new bucket starts with, as a divisor: in one window a team may get a
-/// new counter twice, when an instance goes and when it comes back.
+/// Divisor for the fraction of the tolerated overage that a new bucket starts with: a team may get
+/// a new quota owner twice in one window, when an instance leaves and when it comes back.
 const START_OVERAGE_DIVISOR: f64 = 3.0;
 
-/// Span in which limits hold, and by how much they may be exceeded when counters change.
+/// Window over which limits hold, and the overage tolerated in it when quota owners change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitWindow {
-    /// Span.
+    /// Length of the window.
     pub length: Duration,
-    /// Tolerance as a part of what the limit allows in the span.
+    /// Tolerated overage as a fraction of what the limit allows in the window.
     pub overage_ratio: f64,
-    /// Tolerance in operations, besides.
+    /// Tolerated overage in operations, in addition.
     pub slack_operations: f64,
 }
 
-/// Declared limits of a team.
+/// Configured rate limit of a team.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamLimit {
-    /// Operations a second.
+    /// Operations per second.
     pub rate: f64,
-    /// Operations at once.
+    /// Size of a burst in operations.
     pub burst: f64,
 }
 
-/// Part of the bucket that operations of one urgency leave to those of the next higher one.
+/// Fraction of the bucket that operations of one priority leave to those of the next higher one.
 const PRIORITY_RESERVE_FRACTION: f64 = 0.2;
-/// Higher urgencies for which tokens are kept.
+/// Largest number of higher priorities for which tokens are reserved.
 const MAX_RESERVED_LEVELS: usize = 2;
-/// Longest wait for a token: about the work of one statement. Those who are refused come back, and
-/// after longer waits they came too late. The same for all, so that patience gives no precedence.
+/// Longest wait for a token, about the work of one statement.
+///
+/// Refused operations are retried, and after longer waits the retries came too late. The bound is
+/// the same for all, so that a longer timeout gives no precedence.
 pub const TOKEN_TIMEOUT: Duration = Duration::from_millis(15);
 
-/// Part of a burst that is admitted at once; the rest is spread over the window of the limit.
+/// Fraction of a burst that is admitted at once; the rest is spread over the window.
 const IMMEDIATE_BURST_FRACTION: f64 = 0.5;
 
 impl TeamLimit {
-    /// Returns rate and burst of a bucket that admits, in any span of `window`, at most what the
-    /// limit allows there: the rate for the whole span and the burst once.
+    /// Returns rate and burst of a bucket that admits at most what the limit allows in any window:
+    /// the rate for its whole length and one burst.
     ///
-    /// A bucket of the declared rate and burst would admit the burst once in all, and so refuse
-    /// steady load that every window allows.
+    /// A bucket with the configured rate and burst would admit the burst only once in total, and so
+    /// refuse a steady load that is within the limit in every window.
     fn bucket_parameters(&self, window: LimitWindow) -> (f64, f64) {
         let immediate_burst = (self.burst * IMMEDIATE_BURST_FRACTION).max(self.burst.min(1.0));
         let spread_rate = (self.burst - immediate_burst) / window.length.as_secs_f64().max(1.0);
         (self.rate + spread_rate, immediate_burst)
     }
 
-    /// Returns the operations that a new counter may admit though it does not know what the one
-    /// before it admitted.
+    /// Returns the operations that a new quota owner may admit without knowing what the previous
+    /// one admitted.
     fn initial_tokens(&self, window: LimitWindow) -> f64 {
         let allowed = self.rate * window.length.as_secs_f64() + self.burst;
         (allowed * window.overage_ratio + window.slack_operations) / START_OVERAGE_DIVISOR
     }
 }
 
-/// Buckets of the teams that an instance counts for.
+/// Token buckets of the teams whose quota owner is this instance.
 #[derive(Debug)]
 pub struct TeamQuotas {
     window: LimitWindow,
@@ -81,15 +85,15 @@
 }
 
 impl TeamQuotas {
-    /// Creates counters for limits that hold in every `window`.
+    /// Creates an empty set of buckets for limits that hold in every `window`.
     pub fn new(window: LimitWindow) -> Self {
         Self { window, buckets: HashMap::new(), reachable_fraction: 0.0, recorded_at: None }
     }
 
-    /// Notes which part of all registered instances this one reaches, itself included.
+    /// Records how many of the registered instances this one reaches, itself included.
     ///
-    /// Must be called more often than every [`COUNTING_GAP`]; after a longer pause, such as a
-    /// suspension, every bucket starts anew.
+    /// Must be called at least every 800 ms; after a longer gap, such as a suspended process, all
+    /// buckets are reset.
     pub fn record_reachable(&mut self, reached: usize, registered: usize, now: Instant) {
         if self.recorded_at.is_some_and(|at| now.saturating_duration_since(at) > OWNERSHIP_TIMEOUT)
         {
@@ -99,16 +103,16 @@
         self.reachable_fraction = reached.min(registered) as f64 / registered.max(1) as f64;
     }
 
-    /// Returns the part of all registered instances that this one reaches, itself included.
+    /// Returns the fraction of registered instances that this one reaches, itself included.
     pub fn reachable_fraction(&self) -> f64 {
         self.reachable_fraction
     }
 
-    /// Takes one operation of a team and returns the time after which it may start, or tells when
-    /// another one would pass if that is longer than `patience`.
+    /// Takes a token for one operation of a team and returns the delay after which it may start.
     ///
-    /// `rank` is the number of urgencies above that of the operation.
-    /// `full_start` lets a bucket that is new start full: nothing was admitted before.
+    /// Returns the time after which a retry would succeed if the delay exceeds `max_wait`.
+    /// `priority_rank` is the number of priorities above that of the operation. `starts_full` fills
+    /// a new bucket, for use when nothing can have been admitted before.
     pub fn take(
         &mut self,
         team: &str,
@@ -136,7 +140,7 @@
         bucket.reserve(1.0, reserved_tokens, max_wait, now)
     }
 
-    /// Forgets buckets of teams for which this instance no longer counts.
+    /// Drops the buckets of teams for which this instance is no longer the quota owner.
     pub fn retain(&mut self, is_owned: impl Fn(&str) -> bool) {
         self.buckets.retain(|team, _| is_owned(team));
     }
--- a/crates/coord/src/rendezvous.rs
+++ b/crates/coord/src/rendezvous.rs
@@ -1,8 +1,8 @@
-//! Rendezvous hashing: every instance orders the others alike without talking to them.
+//! Rendezvous hashing: all instances compute the same order without communication.
 
 use std::cmp::Reverse;
 
-/// Seed of the 64-bit FNV-1a hash.
+/// Initial value of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 /// Multiplier of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -12,20 +12,20 @@
     let bytes = subject.bytes().chain([0]).chain(candidate.bytes());
     let hash =
         bytes.fold(FNV_OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
-    // FNV leaves the high bits of short inputs alike; a finalizer spreads them.
+    // FNV mixes the high bits of short inputs poorly; this finalizer spreads them.
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     hash ^ (hash >> 33)
 }
 
-/// Returns the place of `own` among `candidates` for `subject`, zero for the first.
+/// Returns the rank of `own` among `candidates` for `subject`, zero for the first.
 pub fn rank<'a>(subject: &str, own: &str, candidates: impl IntoIterator<Item = &'a str>) -> usize {
     let own_key = sort_key(subject, own);
     let before = |candidate: &&str| *candidate != own && sort_key(subject, candidate) < own_key;
     candidates.into_iter().filter(before).count()
 }
 
-/// Returns the `count` first candidates for `subject`.
+/// Returns the `count` candidates that rank first for `subject`.
 pub fn top_ranked<'a>(
     subject: &str,
     candidates: impl IntoIterator<Item = &'a str>,
--- a/crates/coord/src/routing.rs
+++ b/crates/coord/src/routing.rs
@@ -1,47 +1,47 @@
-//! Choice of the member that runs a request.
+//! Choice of the member that executes a request.
 
 use std::time::{Duration, Instant};
 
 use state::position::{LogPosition, MemberPosition, MemberRole};
 
-/// What one instance knows of a member.
+/// View that an instance has of a member.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberView {
     /// Last position that the member reported.
     pub position: MemberPosition,
-    /// Tells that the member answers this instance.
+    /// The member answers this instance.
     pub reachable: bool,
-    /// Local time up to which the member is known to be complete.
+    /// Local time up to which the member's data is known to be complete.
     pub fresh_as_of: Option<Instant>,
-    /// Statements of this instance that the member runs or that wait for it.
+    /// Number of this instance's statements that run or are queued at the member.
     pub load: u32,
-    /// Tells that the member stands in the instance's availability zone.
+    /// The member is in the instance's availability zone.
     pub same_zone: bool,
 }
 
-/// What a request needs of the member that serves it.
+/// Requirements of a read on the member that serves it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadRequirements {
-    /// Greatest accepted age of the data; none means the primary's data.
+    /// Largest accepted staleness of the data; none requires the primary.
     pub max_staleness: Option<Duration>,
-    /// Position that the session has seen; none means that the session stands behind a barrier.
+    /// Position that the session has observed; none requires data complete up to `began_at`.
     pub min_position: Option<LogPosition>,
     /// Local time at which the session began.
     pub began_at: Instant,
 }
 
-/// Where a request goes.
+/// Target of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteTarget {
-    /// To the primary, the member with this index.
+    /// The primary, by member index.
     Primary(usize),
-    /// To the replica with this index.
+    /// A replica, by member index.
     Replica(usize),
-    /// Nowhere until a primary is known.
+    /// None until a primary is known.
     Wait,
 }
 
-/// Picks the member for a read.
+/// Selects the member for a read: the least loaded suitable replica, or else the primary.
 pub fn route_read(
     members: &[MemberView],
     requirements: &ReadRequirements,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Picks the member for a write: the reachable primary of the highest term.
+/// Selects the member for a write: the reachable primary of the highest term.
 pub fn route_write(members: &[MemberView]) -> RouteTarget {
     let highest = members.iter().map(|view| view.position.term).max().unwrap_or_default();
     let primary = members.iter().position(|view| {
@@ -73,7 +73,7 @@
     primary.map_or(RouteTarget::Wait, RouteTarget::Primary)
 }
 
-/// Tells whether a replica may serve a read.
+/// Returns whether a member's data meets the requirements of a read.
 fn is_fresh_enough(view: &MemberView, requirements: &ReadRequirements, now: Instant) -> bool {
     let (Some(limit), Some(fresh_as_of)) = (requirements.max_staleness, view.fresh_as_of) else {
         return false;
--- a/crates/coord/src/session.rs
+++ b/crates/coord/src/session.rs
@@ -1,55 +1,56 @@
-//! Dialogue of one caller's session: what is answered at once and what a member must run.
+//! State machine of a caller's session: which statements are answered at once, and which are
+//! forwarded to a member.
 //!
-//! A transaction starts at a member only with its first statement, so that callers who rest after
-//! `BEGIN` hold no connection.
+//! A transaction is opened at a member only with its first statement, so that callers that stay
+//! idle after `BEGIN` hold no connection.
 
 use std::time::Instant;
 
 use state::position::LogPosition;
 
-/// Statement of a caller as far as the session must know it.
+/// Statement of a caller, reduced to what the session must know about it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StatementClass {
     /// Opens a transaction.
     Begin {
-        /// The transaction only reads.
+        /// The transaction is read-only.
         read_only: bool,
     },
     /// Commits the open transaction.
     Commit,
     /// Rolls the open transaction back.
     Rollback,
-    /// Reads.
+    /// Reads data.
     Read,
-    /// Writes.
+    /// Writes data.
     Write,
-    /// Sets a session value.
+    /// Sets a session parameter.
     Set {
-        /// Name of the value.
+        /// Name of the parameter.
         name: String,
     },
-    /// Names a statement.
+    /// Prepares a named statement.
     Prepare {
         /// Name of the statement.
         name: String,
-        /// The statement writes.
+        /// The prepared statement writes data.
         writes: bool,
     },
-    /// Runs a named statement.
+    /// Executes a prepared statement.
     Execute {
         /// Name of the statement.
         name: String,
     },
-    /// Forgets a named statement.
+    /// Deallocates a prepared statement.
     Deallocate {
         /// Name of the statement.
         name: String,
     },
-    /// None of these.
+    /// A statement that is none of these.
     Unknown,
 }
 
-/// State of a session as its caller sees it.
+/// State of a session's transaction as its caller sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TransactionState {
     /// No transaction is open.
@@ -60,70 +61,75 @@
     Failed,
 }
 
-/// Why a statement is refused without a member.
+/// Reason why a statement is refused without being forwarded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StatementError {
-    /// The statement makes no sense in the state of the session.
+    /// The statement is not allowed in the session's current state.
     InvalidState,
     /// No statement of that name is prepared.
     UnknownStatement,
-    /// The transaction had failed, so there is nothing to commit.
+    /// The transaction had failed and is rolled back instead of committed.
     RolledBack,
-    /// The statement writes in a transaction that only reads.
+    /// The statement writes in a read-only transaction.
     ReadOnly,
 }
 
-/// What to do with a statement.
+/// Action to take for a statement.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StatementAction {
     /// Answer success at once.
     Acknowledge,
-    /// End the transaction at the member that holds it, and answer success at once.
+    /// Answer success at once, and roll the transaction back at the member that holds it.
     RollbackPinned,
     /// Answer an error at once.
     Refuse(StatementError),
-    /// Let a member run it.
+    /// Forward the statement to a member.
     Forward(ForwardPlan),
 }
 
-/// How a member must run a statement.
+/// Describes how a member must execute a forwarded statement.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ForwardPlan {
-    /// The statement is the first of a transaction, which must be opened before it.
+    /// The statement is the first of a transaction, which the member must open before it.
     pub opens_transaction: bool,
     /// The statement runs on the connection that holds the open transaction.
     pub pinned: bool,
-    /// The statement ends the transaction.
+    /// The statement commits the transaction.
     pub commits: bool,
-    /// The statement writes.
+    /// The statement writes data.
     pub writes: bool,
-    /// The operation may be served by a replica.
+    /// A replica may execute the statement.
     pub read_only: bool,
-    /// Time at which the first byte of the statement or of its transaction came in.
+    /// Arrival time of the first byte of the statement, or of the `BEGIN` of its transaction.
     pub began_at: Instant,
 }
 
 impl ForwardPlan {
-    /// Tells whether the statement is a whole operation.
+    /// Returns whether the statement runs outside an explicit transaction.
     pub fn is_autocommit(&self) -> bool {
         !self.opens_transaction && !self.pinned
     }
 
-    /// Tells whether the caller's data may change for good when the statement runs.
+    /// Returns whether the statement's success may change data durably.
     pub fn changes_data(&self) -> bool {
         self.commits || (self.is_autocommit() && self.writes)
     }
 }
 
+/// Phase of a session's transaction.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum TransactionPhase {
+    /// No transaction is open.
     Idle,
+    /// `BEGIN` was acknowledged, but no member has opened the transaction yet.
     Begun { read_only: bool, began_at: Instant },
+    /// A member's connection holds the open transaction.
     Pinned { read_only: bool, began_at: Instant },
+    /// The transaction failed and can only be ended.
     Failed,
 }
 
-/// Named text that a session's connection must have run.
+/// Session parameter or prepared statement that a connection of the session must have executed.
 #[derive(Clone, Debug)]
 struct SetupEntry {
     name: String,
@@ -132,13 +138,13 @@
     writes: bool,
 }
 
-/// State of one session.
+/// State machine of one session.
 #[derive(Clone, Debug)]
 pub struct SessionMachine {
     phase: TransactionPhase,
     setup: Vec<SetupEntry>,
     setup_version: u32,
-    /// Texts that the connection of the open transaction has not run yet.
+    /// Setup statements that the connection of the open transaction has not executed yet.
     pending_setup: Vec<String>,
     last_commit: Option<LogPosition>,
 }
@@ -156,7 +162,7 @@
 }
 
 impl SessionMachine {
-    /// Returns the state that the caller sees.
+    /// Returns the transaction state that the caller sees.
     pub fn transaction_state(&self) -> TransactionState {
         match self.phase {
             TransactionPhase::Idle => TransactionState::Idle,
@@ -167,7 +173,7 @@
         }
     }
 
-    /// Tells whether a member holds the open transaction.
+    /// Returns whether a member's connection holds the open transaction.
     pub fn is_pinned(&self) -> bool {
         matches!(self.phase, TransactionPhase::Pinned { .. })
     }
@@ -177,22 +183,24 @@
         self.last_commit
     }
 
-    /// Returns the version of values and prepared names; zero if there are none.
+    /// Returns the version of the session's parameters and prepared statements; zero if it has
+    /// none.
     pub fn setup_version(&self) -> u32 {
         if self.setup.is_empty() { 0 } else { self.setup_version }
     }
 
-    /// Returns the texts that give a fresh connection the session's values and names.
+    /// Returns the statements that give a new connection the session's parameters and prepared
+    /// statements.
     pub fn setup_statements(&self) -> impl Iterator<Item = &str> {
         self.setup.iter().map(|entry| entry.text.as_str())
     }
 
-    /// Takes the texts that the connection of the open transaction has not run yet.
+    /// Takes the setup statements that the connection of the open transaction has not executed yet.
     pub fn take_pending_setup(&mut self) -> Vec<String> {
         std::mem::take(&mut self.pending_setup)
     }
 
-    /// Decides about a statement whose first byte came in at `began_at`.
+    /// Returns the action for a statement whose first byte arrived at `began_at`.
     pub fn handle_statement(
         &mut self,
         class: &StatementClass,
@@ -250,7 +258,7 @@
         }
     }
 
-    /// Records that a member ran a forwarded statement with success.
+    /// Records that a member executed a forwarded statement successfully.
     pub fn record_success(&mut self, plan: &ForwardPlan, position: Option<LogPosition>) {
         if plan.changes_data() && (plan.commits && !plan.read_only || plan.writes) {
             self.last_commit = self.last_commit.max(position);
@@ -263,7 +271,7 @@
         }
     }
 
-    /// Records that a forwarded statement failed; an open transaction is lost with it.
+    /// Records that a forwarded statement failed, which also fails an open transaction.
     pub fn record_failure(&mut self, plan: &ForwardPlan) {
         if plan.commits {
             self.end_transaction();
@@ -273,7 +281,7 @@
         }
     }
 
-    /// Fails the open transaction, because its connection is gone or it rested for too long.
+    /// Fails the open transaction, because its connection is closed or it was idle for too long.
     pub fn fail_transaction(&mut self) {
         if self.transaction_state() == TransactionState::Open {
             self.pending_setup.clear();
--- a/crates/coord/src/validation.rs
+++ b/crates/coord/src/validation.rs
@@ -1,49 +1,50 @@
-//! Proof that a version kept in the table service is still the one in force.
+//! Validation that a version read from the table service is still current.
 //!
-//! An instance acts on a version only for a short time after it was last proved current. Proof is
-//! an answer of the table service, the word of a peer that has such proof, or the agreement of
-//! every listed peer that the table service answers nobody: then nothing can have been changed
-//! through it. Ages are measured on local clocks only.
+//! An instance acts on a version only for a short time after it was last validated. A validation is
+//! a response of the table service, a response of a peer that has a validation, or the agreement of
+//! all registered peers that the table service is down for each of them: then nothing can have
+//! changed through it. Ages are measured on local clocks only.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Time after the last proof for which a version may be acted on.
+/// Time after the last validation for which a version may be acted on.
 pub const VALIDATION_TTL: Duration = Duration::from_millis(2_500);
-/// Part of the time for which a withdrawn key may still work that a request admitted last needs: it
-/// waits for its token, its connection and its turn.
+/// Part of the revocation bound reserved for requests that were admitted just before the key
+/// stopped being accepted: they still wait for a token, a connection and a queue position.
 const IN_FLIGHT_RESERVE: Duration = Duration::from_millis(800);
-/// Failed time after which the table service counts as down for an instance.
+/// Time without an answer after which an instance counts the table service as down.
 const STORE_OUTAGE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Returns the time after the last proof for which keys of a version may be accepted, if a withdrawn
-/// key must stop working within `bound` on every instance, also on those cut off.
+/// Returns the time after the last validation for which the keys of a version may be accepted, if a
+/// revoked key must stop working within `revocation_bound` on every instance, partitioned ones
+/// included.
 ///
-/// An instance that is cut off cannot be told apart from one that missed nothing, so it stops in
-/// time. `bound` less the reserve, and at least half of it.
+/// An instance cannot tell a partition from a quiet period, so it stops accepting keys before the
+/// bound: by the reserve earlier, but not before half of the bound.
 pub fn key_validation_ttl(revocation_bound: Duration) -> Duration {
     revocation_bound.saturating_sub(IN_FLIGHT_RESERVE).max(revocation_bound / 2)
 }
 
-/// Answer of a peer in a round of heartbeats.
+/// Outcome of a heartbeat to one peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HeartbeatOutcome {
     /// The peer answered.
     Answered {
-        /// Version that the peer acts on.
+        /// Version on which the peer acts.
         version: u64,
-        /// Age of the peer's proof; none if it has none.
+        /// Age of the peer's last validation; none if it has none.
         validation_age: Option<Duration>,
-        /// Tells that the table service does not answer the peer.
+        /// The table service does not answer the peer.
         store_down: bool,
     },
-    /// The peer's machine refused the connection: no process serves there.
+    /// The peer's host refused the connection, so no process serves there.
     Refused,
-    /// The peer did not answer.
+    /// The peer did not answer in time.
     Unanswered,
 }
 
-/// Proofs of one version on one instance.
+/// Tracks the validations of one version on one instance.
 #[derive(Clone, Debug, Default)]
 pub struct ValidationTracker {
     version: u64,
@@ -54,20 +55,20 @@
 }
 
 impl ValidationTracker {
-    /// Returns the version that is acted on.
+    /// Returns the current version; zero before the first.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Acts on a higher version from now on.
+    /// Moves on to a higher version.
     ///
-    /// The proof of the lower one carries over: whatever replaces the higher one comes later than
-    /// what replaced the lower one, so the time for which it may be acted on is over in time.
+    /// The last validation carries over: the higher version cannot have been superseded earlier
+    /// than the lower one, so its validity still ends in time.
     pub fn adopt(&mut self, version: u64) {
         self.version = self.version.max(version);
     }
 
-    /// Records that the table service, asked at `asked_at`, named `version`.
+    /// Records that the table service returned `version` to a request sent at `sent_at`.
     pub fn record_store_version(&mut self, sent_at: Instant, version: u64) {
         self.store_failing_since = None;
         if version == self.version {
@@ -75,24 +76,24 @@
         }
     }
 
-    /// Records that the table service did not answer a question asked at `asked_at`.
+    /// Records that the table service did not answer a request sent at `sent_at`.
     pub fn record_store_failure(&mut self, sent_at: Instant) {
         self.store_failing_since = self.store_failing_since.or(Some(sent_at));
     }
 
-    /// Tells whether the table service has not answered this instance for a while.
+    /// Returns whether the table service counts as down for this instance.
     pub fn is_store_down(&self, now: Instant) -> bool {
         self.store_failing_since
             .is_some_and(|since| now.saturating_duration_since(since) >= STORE_OUTAGE_TIMEOUT)
     }
 
-    /// Starts a round of heartbeats to every listed peer.
+    /// Starts a round of heartbeats to all registered peers.
     pub fn start_heartbeat_round(&mut self, now: Instant) {
         self.round_started_at = Some(now);
         self.outcomes.clear();
     }
 
-    /// Records what a peer said to a question asked at `asked_at`.
+    /// Records the outcome of a heartbeat to a peer that was sent at `sent_at`.
     pub fn record_peer(&mut self, peer: u64, sent_at: Instant, outcome: HeartbeatOutcome) {
         if let HeartbeatOutcome::Answered { version, validation_age: Some(age), .. } = outcome
             && version == self.version
@@ -105,7 +106,10 @@
         }
     }
 
-    /// Ends a round to `listed` peers; if all of them agree on an outage, the version is proved.
+    /// Ends a round of heartbeats to `peer_count` registered peers.
+    ///
+    /// Validates the version if all of them agree that the table service is down. A peer whose host
+    /// refuses the connection counts as agreeing.
     pub fn end_heartbeat_round(&mut self, peer_count: usize, now: Instant) {
         let Some(round_started_at) = self.round_started_at.take() else {
             return;
@@ -119,7 +123,7 @@
         };
         let unanimous =
             self.outcomes.len() >= peer_count && self.outcomes.values().all(confirms_outage);
-        // The list lags: an instance that hears nobody may have missed whoever came since.
+        // The list of peers lags: an instance that no peer answers may have missed new peers.
         let has_answered =
             |outcome: &HeartbeatOutcome| matches!(outcome, HeartbeatOutcome::Answered { .. });
         let isolated = peer_count > 0 && !self.outcomes.values().any(has_answered);
@@ -128,7 +132,7 @@
         }
     }
 
-    /// Returns the age of the last proof.
+    /// Returns the age of the last validation.
     pub fn validation_age(&self, now: Instant) -> Option<Duration> {
         self.validated_at.map(|at| now.saturating_duration_since(at))
     }
@@ -138,7 +142,7 @@
         self.validated_at.map(|at| at + VALIDATION_TTL)
     }
 
-    /// Tells whether the version may be acted on at `now`.
+    /// Returns whether the version may be acted on at `now`.
     pub fn is_valid(&self, now: Instant) -> bool {
         self.version > 0 && self.valid_until().is_some_and(|until| now <= until)
     }
--- a/crates/coord/src/watermark.rs
+++ b/crates/coord/src/watermark.rs
@@ -1,34 +1,34 @@
-//! Recent positions that a leader proved, from which bounded reads pick the one they need.
+//! Recent watermarks of a service, from which bounded-staleness reads choose their position.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use state::position::LogPosition;
 
-/// Marks kept; at one every [`MARK_SPACING`] they reach back further than any stated age.
+/// Kept watermarks; at one every [`WATERMARK_INTERVAL`] they cover more than any staleness limit.
 const MAX_WATERMARKS: usize = 160;
-/// Least time between two kept marks; closer ones tell a read nothing more.
+/// Shortest interval between two kept watermarks; closer ones do not help a read.
 const WATERMARK_INTERVAL: Duration = Duration::from_millis(20);
-/// Reserve by which a mark must be younger than the stated age, for rounding on the wire.
+/// Margin by which a watermark must be fresher than the staleness limit, for rounding on the wire.
 const ROUNDING_MARGIN: Duration = Duration::from_millis(20);
 
-/// Position that covers every commit acknowledged before an instant.
+/// Log position that includes every commit acknowledged before a point in time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Watermark {
-    /// Instant before the question that proved the position was sent.
+    /// Time before the request to which the leader answered with the position was sent.
     pub as_of: Instant,
     /// Position of the leader when it answered.
     pub position: LogPosition,
 }
 
-/// Marks of one service in the order of their instants.
+/// Watermarks of one service in order of time.
 #[derive(Clone, Debug, Default)]
 pub struct WatermarkRing {
     watermarks: VecDeque<Watermark>,
 }
 
 impl WatermarkRing {
-    /// Records a mark; marks of older terms go, because their commits may have been rolled back.
+    /// Records a watermark. Those of older terms are dropped, as their commits may be rolled back.
     pub fn record(&mut self, watermark: Watermark) {
         let term = self.newest().map_or(0, |newest| newest.position.term);
         if watermark.position.term < term {
@@ -40,7 +40,8 @@
         match self.watermarks.back_mut() {
             Some(last) if watermark.as_of <= last.as_of => return,
             Some(last) if watermark.position == last.position => {
-                // The same position, proved later, covers more. The earlier instant is of no use.
+                // The same position with a later time covers more, so the earlier time is not
+                // needed.
                 last.as_of = watermark.as_of;
                 return;
             }
@@ -60,23 +61,24 @@
         }
     }
 
-    /// Returns the mark with the latest instant.
+    /// Returns the watermark with the latest time.
     pub fn newest(&self) -> Option<Watermark> {
         self.watermarks.back().copied()
     }
 
-    /// Returns the oldest mark that a read begun at `began_at` may use under a stated age.
+    /// Returns the oldest watermark that a read begun at `began_at` may use with `max_staleness`.
     ///
-    /// The oldest is best: a lagging replica reaches it first.
+    /// The oldest is best, because a lagging replica reaches it first.
     pub fn oldest_within(&self, began_at: Instant, max_staleness: Duration) -> Option<Watermark> {
         let limit = max_staleness.saturating_sub(ROUNDING_MARGIN);
         let is_fresh = |watermark: &&Watermark| watermark.as_of + limit >= began_at;
         self.watermarks.iter().find(is_fresh).copied()
     }
 
-    /// Returns the position that a read needs: the mark and the session's own last commit.
+    /// Returns the position that a read requires: the later of the watermark and the session's last
+    /// commit.
     ///
-    /// A commit of an older term is covered by any mark of a newer one, or was rolled back.
+    /// A commit of an older term is covered by any watermark of a newer term, or was rolled back.
     pub fn required_position(
         watermark: Watermark,
         last_commit: Option<LogPosition>,
