--- a/crates/admin/src/fleet.rs
+++ b/crates/admin/src/fleet.rs
@@ -149,13 +149,13 @@
 
 async fn announce(record: &InstanceRecord, revision: u64) -> bool {
     let announcement = Announcement { revision, epoch: 0, source: String::new() };
-    let mut handle = peer::open(record.peer);
+    let mut handle = peer::connect_lazy(record.peer);
     let reply = timeout(REPORT_LIMIT, handle.announce(announcement)).await;
     matches!(reply, Ok(Ok(reply)) if reply.get_ref().revision >= revision)
 }
 
 async fn ask(record: &InstanceRecord) -> Option<ReportReply> {
-    let mut handle = peer::open(record.peer);
+    let mut handle = peer::connect_lazy(record.peer);
     let reply = timeout(REPORT_LIMIT, handle.report(ReportRequest {})).await.ok()?;
     reply.ok().map(tonic::Response::into_inner)
 }
--- a/crates/admin/src/main.rs
+++ b/crates/admin/src/main.rs
@@ -32,6 +32,6 @@
 async fn run(settings: AdminSettings) -> Result<(), AdminError> {
     tokio::select! {
         served = api::serve(settings) => served,
-        () = program::stop_signal() => Ok(()),
+        () = program::shutdown_signal() => Ok(()),
     }
 }
--- a/crates/engine/src/node.rs
+++ b/crates/engine/src/node.rs
@@ -256,7 +256,7 @@
     pub fn set_duty(&self, token: Option<u64>) {
         if self.duty.replace(token) != token {
             self.announced.notify_waiters();
-            log_event!(LogEvent::DutyChanged, "token={token:?}");
+            log_event!(LogEvent::PromotionLeaseChanged, "token={token:?}");
         }
     }
 
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -142,7 +142,7 @@
         }
         if !link.dropped.get() {
             self.peers.links.borrow_mut().remove(&link.record.name);
-            log_event!(LogEvent::PeerForgotten, "instance={}", link.record.name);
+            log_event!(LogEvent::PeerExpired, "instance={}", link.record.name);
         }
     }
 
--- a/crates/engine/src/steward.rs
+++ b/crates/engine/src/steward.rs
@@ -126,7 +126,7 @@
         let view = match self.platform.read_lease().await {
             Ok(view) => view,
             Err(error) => {
-                log_event!(LogEvent::DutyRefused, "step=read cause=\"{error}\"");
+                log_event!(LogEvent::PromotionLeaseFailed, "step=read cause=\"{error}\"");
                 return;
             }
         };
@@ -182,7 +182,7 @@
             Ok(LeaseWrite::Conflict) => self.lose_duty(held, "another instance wrote the lease"),
             Err(error) => {
                 // The write may have been carried out; the version tells at the next try.
-                log_event!(LogEvent::DutyRefused, "step=write cause=\"{error}\"");
+                log_event!(LogEvent::PromotionLeaseFailed, "step=write cause=\"{error}\"");
                 self.check_lapsed(held);
             }
         }
@@ -199,7 +199,7 @@
 
     fn lose_duty(&self, held: &RefCell<HeldLease>, cause: &str) {
         if self.duty().is_some() {
-            log_event!(LogEvent::DutyRefused, "step=keep cause=\"{cause}\"");
+            log_event!(LogEvent::PromotionLeaseFailed, "step=keep cause=\"{cause}\"");
         }
         held.borrow_mut().runs_until = None;
         self.set_duty(None);
@@ -216,7 +216,7 @@
             (held.version, DutyLease { ends_ms: 0, ..held.lease.clone() })
         };
         if let Err(error) = self.platform.write_lease(version, &lease).await {
-            log_event!(LogEvent::DutyRefused, "step=release cause=\"{error}\"");
+            log_event!(LogEvent::PromotionLeaseFailed, "step=release cause=\"{error}\"");
         }
     }
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -52,7 +52,7 @@
     };
     let environment = LabEnvironment::start(options).await?;
     describe(&environment);
-    program::stop_signal().await;
+    program::shutdown_signal().await;
     Ok(())
 }
 
--- a/crates/net/src/member.rs
+++ b/crates/net/src/member.rs
@@ -12,10 +12,10 @@
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
+use wire::backend::{self, TransactionState};
 use wire::frame::{FrameHeader, RawFrame};
 use wire::frontend;
 use wire::group::{GroupCommand, NOT_PRIMARY, POSITION_PARAMETER};
-use wire::reply::{self, BlockState};
 
 use crate::socket::{FramedSocket, SocketError};
 
@@ -37,7 +37,7 @@
     },
     /// The member did not answer in time.
     #[snafu(display("no answer within {} ms", limit.as_millis()))]
-    Silent {
+    Timeout {
         /// Time that was waited.
         limit: Duration,
     },
@@ -49,24 +49,24 @@
     },
     /// The member answered with an error.
     #[snafu(display("the member refused: {sqlstate} {message}"))]
-    Refused {
+    ErrorResponse {
         /// SQLSTATE of the error.
         sqlstate: String,
         /// Message of the error.
         message: String,
     },
     /// The member sent something unexpected.
-    #[snafu(display("the member broke the protocol: {what}"))]
+    #[snafu(display("the member broke the protocol: {detail}"))]
     Protocol {
         /// What was expected.
-        what: &'static str,
+        detail: &'static str,
     },
 }
 
 impl MemberError {
     /// Tells whether the member refused because it is not the primary.
     pub fn is_not_primary(&self) -> bool {
-        matches!(self, Self::Refused { sqlstate, .. } if sqlstate == NOT_PRIMARY)
+        matches!(self, Self::ErrorResponse { sqlstate, .. } if sqlstate == NOT_PRIMARY)
     }
 }
 
@@ -95,12 +95,12 @@
     process: i32,
     secret: Option<SecretKey>,
     position: Option<MemberPosition>,
-    state: BlockState,
-    proved_at: Instant,
+    state: TransactionState,
+    last_active_at: Instant,
     /// Identifiers of the statements prepared on this connection.
-    pub prepared: HashSet<u64>,
+    pub prepared_statements: HashSet<u64>,
     /// Fingerprint of the session parameters set on this connection.
-    pub parameters: u64,
+    pub parameter_fingerprint: u64,
 }
 
 impl MemberConnection {
@@ -108,7 +108,7 @@
     pub async fn open(target: &MemberTarget) -> Result<Self, MemberError> {
         let limit = target.connect_timeout;
         let open = timeout(limit, Self::open_untimed(target)).await;
-        open.ok().context(SilentSnafu { limit })?
+        open.ok().context(TimeoutSnafu { limit })?
     }
 
     async fn open_untimed(target: &MemberTarget) -> Result<Self, MemberError> {
@@ -120,10 +120,10 @@
             process: 0,
             secret: None,
             position: None,
-            state: BlockState::Idle,
-            proved_at: Instant::now(),
-            prepared: HashSet::new(),
-            parameters: 0,
+            state: TransactionState::Idle,
+            last_active_at: Instant::now(),
+            prepared_statements: HashSet::new(),
+            parameter_fingerprint: 0,
         };
         connection.start(target).await?;
         Ok(connection)
@@ -139,25 +139,25 @@
             startup.parameters.insert(name.to_owned(), value);
         }
         let mut output = BytesMut::new();
-        startup.encode(&mut output).ok().context(ProtocolSnafu { what: "startup" })?;
+        startup.encode(&mut output).ok().context(ProtocolSnafu { detail: "startup" })?;
         self.socket.write(&output).await?;
         let context = DecodeContext::default();
         loop {
             let frame = self.next_frame().await?;
             match frame.tag {
-                reply::READY => return Ok(()),
-                reply::ERROR => return Err(refusal(frame.body())),
-                reply::PARAMETER | reply::NOTICE => continue,
+                backend::READY_FOR_QUERY => return Ok(()),
+                backend::ERROR_RESPONSE => return Err(refusal(frame.body())),
+                backend::PARAMETER_STATUS | backend::NOTICE_RESPONSE => continue,
                 _ => {}
             }
-            let message = reply::decode(frame, &context);
-            match message.context(ProtocolSnafu { what: "startup answer" })? {
+            let message = backend::decode(frame, &context);
+            match message.context(ProtocolSnafu { detail: "startup answer" })? {
                 PgWireBackendMessage::Authentication(Authentication::Ok) => {}
                 PgWireBackendMessage::Authentication(Authentication::CleartextPassword) => {
                     self.send_password(&target.password).await?;
                 }
                 PgWireBackendMessage::Authentication(_) => {
-                    return ProtocolSnafu { what: "no password or a cleartext one" }.fail();
+                    return ProtocolSnafu { detail: "no password or a cleartext one" }.fail();
                 }
                 PgWireBackendMessage::BackendKeyData(key) => {
                     self.process = key.pid;
@@ -171,7 +171,7 @@
     async fn send_password(&mut self, password: &str) -> Result<(), MemberError> {
         let mut output = BytesMut::new();
         let message = Password::new(password.to_owned());
-        message.encode(&mut output).ok().context(ProtocolSnafu { what: "password" })?;
+        message.encode(&mut output).ok().context(ProtocolSnafu { detail: "password" })?;
         Ok(self.socket.write(&output).await?)
     }
 
@@ -196,11 +196,11 @@
             return Ok(None);
         };
         match frame.tag {
-            reply::PARAMETER => self.note_parameter(frame.body()),
-            reply::READY => {
-                let state = reply::read_ready(frame.body());
-                self.state = state.context(ProtocolSnafu { what: "transaction state" })?;
-                self.proved_at = Instant::now();
+            backend::PARAMETER_STATUS => self.note_parameter(frame.body()),
+            backend::READY_FOR_QUERY => {
+                let state = backend::read_transaction_state(frame.body());
+                self.state = state.context(ProtocolSnafu { detail: "transaction state" })?;
+                self.last_active_at = Instant::now();
             }
             _ => {}
         }
@@ -223,7 +223,7 @@
     }
 
     fn note_parameter(&mut self, body: &[u8]) {
-        if let Some((POSITION_PARAMETER, value)) = reply::read_parameter(body) {
+        if let Some((POSITION_PARAMETER, value)) = backend::read_parameter_status(body) {
             self.position = value.parse().ok().or(self.position);
         }
     }
@@ -234,13 +234,13 @@
     }
 
     /// Returns the transaction state that the member reported last.
-    pub fn state(&self) -> BlockState {
+    pub fn state(&self) -> TransactionState {
         self.state
     }
 
     /// Returns when the connection last completed an exchange.
-    pub fn proved_at(&self) -> Instant {
-        self.proved_at
+    pub fn last_active_at(&self) -> Instant {
+        self.last_active_at
     }
 
     /// Runs a group command and returns the text it answers.
@@ -253,27 +253,27 @@
         frontend::put_query(&mut output, &command.to_string());
         self.send(&output).await?;
         let answer = timeout(limit, self.read_command_answer()).await;
-        answer.ok().context(SilentSnafu { limit })?
+        answer.ok().context(TimeoutSnafu { limit })?
     }
 
     /// Asks for the member's status.
     pub async fn status(&mut self, limit: Duration) -> Result<MemberStatus, MemberError> {
         let text = self.command(&GroupCommand::Status, limit).await?;
-        text.parse().ok().context(ProtocolSnafu { what: "status" })
+        text.parse().ok().context(ProtocolSnafu { detail: "status" })
     }
 
     /// Reads the answer to one group command sent before.
     pub async fn read_command_answer(&mut self) -> Result<String, MemberError> {
-        let mut answer = Err(MemberError::Protocol { what: "a row" });
+        let mut answer = Err(MemberError::Protocol { detail: "a row" });
         loop {
             let frame = self.next_frame().await?;
             match frame.tag {
-                reply::ROW => {
-                    let column = reply::read_row(frame.body()).into_iter().next().flatten();
-                    answer = column.context(ProtocolSnafu { what: "a text column" });
+                backend::DATA_ROW => {
+                    let column = backend::read_data_row(frame.body()).into_iter().next().flatten();
+                    answer = column.context(ProtocolSnafu { detail: "a text column" });
                 }
-                reply::ERROR => answer = Err(refusal(frame.body())),
-                reply::READY => return answer,
+                backend::ERROR_RESPONSE => answer = Err(refusal(frame.body())),
+                backend::READY_FOR_QUERY => return answer,
                 _ => {}
             }
         }
@@ -308,6 +308,6 @@
 }
 
 fn refusal(body: &[u8]) -> MemberError {
-    let field = |code| reply::read_error_field(body, code).unwrap_or_default().to_owned();
-    MemberError::Refused { sqlstate: field(b'C'), message: field(b'M') }
+    let field = |code| backend::read_error_field(body, code).unwrap_or_default().to_owned();
+    MemberError::ErrorResponse { sqlstate: field(b'C'), message: field(b'M') }
 }
--- a/crates/net/src/peer.rs
+++ b/crates/net/src/peer.rs
@@ -18,7 +18,7 @@
 pub type PeerHandle = PeerClient<Channel>;
 
 /// Creates a channel that connects when it is first used and again after it breaks.
-pub fn open(address: SocketAddr) -> PeerHandle {
+pub fn connect_lazy(address: SocketAddr) -> PeerHandle {
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
         .expect("an address makes a valid URI")
         .connect_timeout(CONNECT_TIMEOUT)
@@ -28,7 +28,7 @@
 }
 
 /// Tells whether a call failed because no process listens at the address.
-pub fn is_refused(status: &Status) -> bool {
+pub fn is_connection_refused(status: &Status) -> bool {
     let mut cause = status.source();
     while let Some(error) = cause {
         if let Some(error) = error.downcast_ref::<io::Error>() {
--- a/crates/net/src/platform.rs
+++ b/crates/net/src/platform.rs
@@ -19,10 +19,10 @@
 pub enum PlatformError {
     /// The operation did not take effect.
     #[snafu(display("the platform's service is down"))]
-    Down,
+    Unavailable,
     /// The operation may have taken effect.
     #[snafu(display("no answer from the platform's service: {source}"))]
-    Unknown {
+    OutcomeUnknown {
         /// Cause reported by the HTTP client.
         source: reqwest::Error,
     },
@@ -68,7 +68,7 @@
 impl PlatformClient {
     /// Creates a client for the services at `base`, such as `http://127.0.0.1:7000`.
     pub fn new(base: impl Into<String>, timeout: Duration) -> Result<Self, PlatformError> {
-        let client = Client::builder().timeout(timeout).build().context(UnknownSnafu)?;
+        let client = Client::builder().timeout(timeout).build().context(OutcomeUnknownSnafu)?;
         Ok(Self { base: base.into(), client })
     }
 
@@ -79,7 +79,7 @@
 
 fn count(kind: &'static str, answered: bool) {
     let outcome = if answered { "answered" } else { "failed" };
-    counter!(meter::PLATFORM, "kind" => kind, "outcome" => outcome).increment(1);
+    counter!(meter::PLATFORM_OPERATIONS, "kind" => kind, "outcome" => outcome).increment(1);
 }
 
 fn checked(
@@ -88,11 +88,15 @@
 ) -> Result<Response, PlatformError> {
     count(kind, answer.is_ok());
     let response = answer.map_err(|source| {
-        if source.is_connect() { PlatformError::Down } else { PlatformError::Unknown { source } }
+        if source.is_connect() {
+            PlatformError::Unavailable
+        } else {
+            PlatformError::OutcomeUnknown { source }
+        }
     })?;
     match response.status() {
         status if status.is_success() => Ok(response),
-        StatusCode::SERVICE_UNAVAILABLE => DownSnafu.fail(),
+        StatusCode::SERVICE_UNAVAILABLE => UnavailableSnafu.fail(),
         status => StatusSnafu { status }.fail(),
     }
 }
@@ -102,7 +106,7 @@
         Box::pin(async move {
             let request = self.client.post(self.url("/table/transact")).json(&transaction);
             let response = checked("transact", request.send().await)?;
-            response.json().await.context(UnknownSnafu)
+            response.json().await.context(OutcomeUnknownSnafu)
         })
     }
 
@@ -110,7 +114,7 @@
         Box::pin(async move {
             let request = self.client.get(self.url("/table/row")).query(&[("key", key)]);
             let response = checked("row", request.send().await)?;
-            response.json().await.context(UnknownSnafu)
+            response.json().await.context(OutcomeUnknownSnafu)
         })
     }
 
@@ -118,7 +122,7 @@
         Box::pin(async move {
             let request = self.client.get(self.url("/table/scan")).query(&[("key", prefix)]);
             let response = checked("scan", request.send().await)?;
-            response.json().await.context(UnknownSnafu)
+            response.json().await.context(OutcomeUnknownSnafu)
         })
     }
 }
@@ -138,7 +142,7 @@
                 Err(PlatformError::Status { status: StatusCode::NOT_FOUND }) => return Ok(None),
                 other => other?,
             };
-            let bytes = response.bytes().await.context(UnknownSnafu)?;
+            let bytes = response.bytes().await.context(OutcomeUnknownSnafu)?;
             Ok(Some(bytes.to_vec()))
         })
     }
@@ -149,7 +153,7 @@
         Box::pin(async move {
             let request = self.client.get(self.url("/instances"));
             let response = checked("instances", request.send().await)?;
-            response.json().await.context(UnknownSnafu)
+            response.json().await.context(OutcomeUnknownSnafu)
         })
     }
 }
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -25,16 +25,16 @@
 pub enum PoolError {
     /// The queue refused the request.
     #[snafu(display("the queue is full"))]
-    Full,
+    QueueFull,
     /// The request cannot start before its deadline.
     #[snafu(display("no connection before the deadline"))]
-    Late {
+    DeadlineExceeded {
         /// Time after which a retry may pass.
         retry_after: Duration,
     },
     /// A connection could not be opened.
     #[snafu(display("{source}"))]
-    Open {
+    Connect {
         /// Cause reported by the connection.
         source: MemberError,
     },
@@ -104,12 +104,12 @@
 
 impl PooledConnection {
     /// Returns the connection.
-    pub fn get(&mut self) -> &mut MemberConnection {
+    pub fn connection_mut(&mut self) -> &mut MemberConnection {
         &mut self.connection
     }
 
     /// Returns the connection to the pool; its last exchange must be complete.
-    pub fn recycle(self) {
+    pub fn release(self) {
         let Self { connection, epoch, permit } = self;
         let mut state = permit.pool.state.lock();
         if state.epoch == epoch && state.idle.len() < state.queue.capacity() {
@@ -145,20 +145,20 @@
     }
 
     /// Closes every idle connection, and those in use once they are returned.
-    pub fn discard_idle(&self) {
+    pub fn invalidate_all(&self) {
         let mut state = self.shared.state.lock();
         state.epoch += 1;
         state.idle.clear();
     }
 
     /// Closes connections that have been idle for long.
-    pub fn close_idle(&self, now: Instant) {
+    pub fn evict_idle(&self, now: Instant) {
         let mut state = self.shared.state.lock();
-        state.idle.retain(|idle| now.duration_since(idle.proved_at()) < IDLE_LIMIT);
+        state.idle.retain(|idle| now.duration_since(idle.last_active_at()) < IDLE_LIMIT);
     }
 
     /// Takes a connection, waiting for the team's turn until `deadline`.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         team: TeamKey,
         deadline: Instant,
@@ -174,11 +174,13 @@
         let opened = timeout_at(deadline.into(), open).await;
         match opened {
             Ok(Ok(connection)) => Ok(PooledConnection { connection, epoch, permit }),
-            Ok(Err(MemberError::Refused { sqlstate, .. })) if sqlstate == TOO_MANY_CONNECTIONS => {
-                LateSnafu { retry_after: PROVE_TIMEOUT }.fail()
+            Ok(Err(MemberError::ErrorResponse { sqlstate, .. }))
+                if sqlstate == TOO_MANY_CONNECTIONS =>
+            {
+                DeadlineExceededSnafu { retry_after: PROVE_TIMEOUT }.fail()
             }
-            Ok(Err(source)) => Err(PoolError::Open { source }),
-            Err(_) => LateSnafu { retry_after: PROVE_TIMEOUT }.fail(),
+            Ok(Err(source)) => Err(PoolError::Connect { source }),
+            Err(_) => DeadlineExceededSnafu { retry_after: PROVE_TIMEOUT }.fail(),
         }
     }
 
@@ -193,9 +195,9 @@
             let (sender, receiver) = oneshot::channel();
             match state.queue.push(team, sender, deadline, now) {
                 Ok(()) => receiver,
-                Err(QueueRefusal::Full) => return FullSnafu.fail(),
+                Err(QueueRefusal::Full) => return QueueFullSnafu.fail(),
                 Err(QueueRefusal::Late { expected }) => {
-                    return LateSnafu { retry_after: expected }.fail();
+                    return DeadlineExceededSnafu { retry_after: expected }.fail();
                 }
             }
         };
@@ -204,7 +206,7 @@
             Ok(Ok(permit)) => Ok(permit),
             _ => {
                 let retry_after = self.shared.state.lock().queue.expected_wait(team);
-                LateSnafu { retry_after }.fail()
+                DeadlineExceededSnafu { retry_after }.fail()
             }
         }
     }
@@ -218,7 +220,7 @@
 
 /// Returns the connection if it was used a moment ago or answers now.
 async fn prove(mut connection: MemberConnection) -> Option<MemberConnection> {
-    if connection.proved_at().elapsed() < PROVE_AFTER {
+    if connection.last_active_at().elapsed() < PROVE_AFTER {
         return Some(connection);
     }
     connection.status(PROVE_TIMEOUT).await.ok()?;
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -20,7 +20,7 @@
     Closed,
     /// The socket failed.
     #[snafu(display("the connection failed: {source}"))]
-    Failed {
+    Io {
         /// Cause reported by the system.
         source: io::Error,
     },
@@ -69,12 +69,12 @@
             self.input = BytesMut::new();
         }
         loop {
-            self.stream.readable().await.context(FailedSnafu)?;
+            self.stream.readable().await.context(IoSnafu)?;
             match self.read_piece() {
                 Ok(0) => return ClosedSnafu.fail(),
                 Ok(_) => return Ok(()),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(source) => return Err(SocketError::Failed { source }),
+                Err(source) => return Err(SocketError::Io { source }),
             }
         }
     }
@@ -105,10 +105,10 @@
         let written = match self.stream.try_write(bytes) {
             Ok(written) => written,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => 0,
-            Err(source) => return Err(SocketError::Failed { source }),
+            Err(source) => return Err(SocketError::Io { source }),
         };
         if written < bytes.len() {
-            self.stream.write_all(&bytes[written..]).await.context(FailedSnafu)?;
+            self.stream.write_all(&bytes[written..]).await.context(IoSnafu)?;
         }
         Ok(())
     }
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -18,7 +18,7 @@
     },
     /// A row cannot be read.
     #[snafu(display("row {key} is malformed: {source}"))]
-    Row {
+    MalformedRow {
         /// Key of the row.
         key: String,
         /// Cause reported by the JSON reader.
@@ -26,13 +26,13 @@
     },
     /// The platform's service took too long.
     #[snafu(display("no answer from the platform's service within {} ms", limit.as_millis()))]
-    Slow {
+    Timeout {
         /// Time that was waited.
         limit: std::time::Duration,
     },
     /// A body is missing or does not match its digest.
     #[snafu(display("document body {digest} is missing or damaged"))]
-    Body {
+    MissingBody {
         /// Digest of the body.
         digest: String,
     },
@@ -92,7 +92,7 @@
         let bytes = self.platform.get(object_name(digest)).await?;
         let text = bytes.and_then(|bytes| String::from_utf8(bytes).ok());
         let text = text.filter(|text| digest_text(text.as_bytes()) == *digest);
-        text.context(BodySnafu { digest })
+        text.context(MissingBodySnafu { digest })
     }
 
     /// Reads the document in force.
@@ -154,12 +154,12 @@
         }
         let head = self.head().await?;
         let digest = "head";
-        Ok(ReplaceOutcome::Conflict(head.context(BodySnafu { digest })?))
+        Ok(ReplaceOutcome::Conflict(head.context(MissingBodySnafu { digest })?))
     }
 
     fn replacement(&self, head: &DocumentHead, row: u64) -> Result<TableTransaction, StoreError> {
         let key = self.head_key();
-        let value = serde_json::to_string(head).context(RowSnafu { key: key.clone() })?;
+        let value = serde_json::to_string(head).context(MalformedRowSnafu { key: key.clone() })?;
         let request = self.request_key(&head.request);
         Ok(TableTransaction {
             checks: vec![
@@ -199,13 +199,13 @@
 
 /// Head and epoch as one read finds them.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct CurrentRows {
+pub struct EnvironmentSnapshot {
     /// Head of the document in force.
     pub head: Option<DocumentHead>,
     /// Epoch of the allotment ledger.
     pub epoch: Option<LedgerEpoch>,
     /// Table revision of the epoch's row, zero if it is absent.
-    pub epoch_row: u64,
+    pub epoch_row_revision: u64,
 }
 
 /// Epoch of the allotment ledger.
@@ -219,16 +219,17 @@
 
 impl<P: TableService + ObjectStore> DocumentStore<'_, P> {
     /// Reads head and epoch together.
-    pub async fn current_rows(&self) -> Result<CurrentRows, StoreError> {
+    pub async fn snapshot(&self) -> Result<EnvironmentSnapshot, StoreError> {
         let prefix = current_prefix(self.environment);
-        let mut current = CurrentRows::default();
+        let mut current = EnvironmentSnapshot::default();
         for row in self.platform.scan(prefix.clone()).await? {
             match row.key.strip_prefix(&prefix) {
                 Some("head") => current.head = Some(read_head(&row)?),
                 Some("epoch") => {
                     let epoch = serde_json::from_str(&row.value);
-                    current.epoch = Some(epoch.context(RowSnafu { key: row.key.clone() })?);
-                    current.epoch_row = row.revision;
+                    current.epoch =
+                        Some(epoch.context(MalformedRowSnafu { key: row.key.clone() })?);
+                    current.epoch_row_revision = row.revision;
                 }
                 _ => {}
             }
@@ -239,7 +240,7 @@
     /// Starts an epoch if the row still has revision `row`; false if another instance was first.
     pub async fn start_epoch(&self, row: u64, epoch: &LedgerEpoch) -> Result<bool, StoreError> {
         let key = format!("{}epoch", current_prefix(self.environment));
-        let value = serde_json::to_string(epoch).context(RowSnafu { key: key.clone() })?;
+        let value = serde_json::to_string(epoch).context(MalformedRowSnafu { key: key.clone() })?;
         let transaction = TableTransaction {
             checks: vec![RowCheck { key: key.clone(), revision: row }],
             writes: vec![RowWrite { key, value: Some(value) }],
@@ -249,7 +250,7 @@
             return Ok(true);
         }
         // A lost answer or a conflict is settled by reading back who issues the epoch.
-        Ok(self.current_rows().await?.epoch.as_ref() == Some(epoch))
+        Ok(self.snapshot().await?.epoch.as_ref() == Some(epoch))
     }
 
     /// Records a finished promotion, unless a higher term is recorded.
@@ -269,7 +270,8 @@
         }
         let record =
             PrimaryRecord { term, primary: primary.to_owned(), instance: instance.to_owned() };
-        let value = serde_json::to_string(&record).context(RowSnafu { key: key.clone() })?;
+        let value =
+            serde_json::to_string(&record).context(MalformedRowSnafu { key: key.clone() })?;
         let revision = row.map_or(0, |row| row.revision);
         let transaction = TableTransaction {
             checks: vec![RowCheck { key: key.clone(), revision }],
@@ -300,5 +302,5 @@
 }
 
 fn read_head(row: &TableRow) -> Result<DocumentHead, StoreError> {
-    serde_json::from_str(&row.value).context(RowSnafu { key: row.key.clone() })
+    serde_json::from_str(&row.value).context(MalformedRowSnafu { key: row.key.clone() })
 }
--- a/crates/proxy/src/beat.rs
+++ b/crates/proxy/src/beat.rs
@@ -6,7 +6,7 @@
 use coord::confirmation::PeerWord;
 use coord::ledger::{Incarnation, MovedTotals};
 use metrics::counter;
-use net::peer::is_refused;
+use net::peer::is_connection_refused;
 use net::platform::InstanceList as _;
 use slotmap::SecondaryMap;
 use telemetry::meter;
@@ -115,7 +115,7 @@
                 receive(instance, &peer, summary, &shares, receiver);
             }
         }
-        Ok(Err(status)) if is_refused(&status) => {
+        Ok(Err(status)) if is_connection_refused(&status) => {
             record_word(instance, id, asked_at, PeerWord::Refused);
         }
         _ => record_word(instance, id, asked_at, PeerWord::Silent),
--- a/crates/proxy/src/census.rs
+++ b/crates/proxy/src/census.rs
@@ -166,7 +166,7 @@
         let team = LimitedTeam { limiter: &instance.limiter, key, entry };
         instance.book.issue(team, missing, tokens, now);
     }
-    log_event!(LogEvent::LedgerCounted, "epoch={} holders={holders}", epoch.number);
+    log_event!(LogEvent::LedgerReconciled, "epoch={} holders={holders}", epoch.number);
 }
 
 /// Asks every listed peer until the epoch before this one has run out for all who do not answer.
--- a/crates/proxy/src/database.rs
+++ b/crates/proxy/src/database.rs
@@ -199,7 +199,7 @@
         if was_reachable {
             let (database, member) = (&self.name, &self.members[index].name);
             log_event!(LogEvent::MemberLost, "database={database} member={member}: {error}");
-            self.members[index].pool.discard_idle();
+            self.members[index].pool.invalidate_all();
             self.publish(before);
         }
     }
--- a/crates/proxy/src/document.rs
+++ b/crates/proxy/src/document.rs
@@ -67,7 +67,7 @@
 async fn poll(instance: &Arc<ProxyInstance>) -> Result<(), StoreError> {
     let asked_at = instance.now();
     let store = DocumentStore::new(&instance.platform, &instance.settings.environment);
-    let read = timeout(POLL_TIMEOUT, store.current_rows()).await;
+    let read = timeout(POLL_TIMEOUT, store.snapshot()).await;
     let rows = match read {
         Ok(Ok(rows)) => rows,
         failed => {
@@ -77,11 +77,11 @@
             });
             return match failed {
                 Ok(Err(error)) => Err(error),
-                _ => Err(StoreError::Slow { limit: POLL_TIMEOUT }),
+                _ => Err(StoreError::Timeout { limit: POLL_TIMEOUT }),
             };
         }
     };
-    instance.note_epoch(rows.epoch.clone(), rows.epoch_row);
+    instance.note_epoch(rows.epoch.clone(), rows.epoch_row_revision);
     let epoch = rows.epoch.map_or(0, |epoch| epoch.number);
     let revision = rows.head.as_ref().map_or(0, |head| head.revision);
     if let Some(head) = rows.head.filter(|head| head.revision > instance.revision()) {
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -214,7 +214,8 @@
         self.revision.store(revision, Ordering::Release);
         drop(catalog);
         self.update_proofs(|proofs| proofs.document.adopt(revision));
-        gauge!(meter::REVISION, "instance" => self.settings.instance.clone()).set(revision as f64);
+        gauge!(meter::DOCUMENT_REVISION, "instance" => self.settings.instance.clone())
+            .set(revision as f64);
         true
     }
 
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -11,8 +11,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
+use wire::backend;
 use wire::refusal::{RefusalReason, RequestRefusal};
-use wire::reply;
 
 use crate::instance::{InstancePhase, ProxyInstance};
 use crate::session::CallerSession;
@@ -94,7 +94,7 @@
     instance.counters.refused(refusal.reason);
     log_event!(LogEvent::RequestRefused, "reason={} at startup", refusal.reason.label());
     let mut output = BytesMut::new();
-    reply::put_refusal(&mut output, refusal, true);
+    backend::put_refusal(&mut output, refusal, true);
     if socket.write(&output).await.is_ok() {
         socket.shutdown().await;
     }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -41,7 +41,7 @@
     if let Some(address) = arguments.meter.metrics_listen {
         exposition::serve(address, recorder).await?;
     }
-    program::stop_signal().await;
+    program::shutdown_signal().await;
     drain::drain(&running.instance).await;
     Ok(())
 }
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -146,7 +146,7 @@
         name: record.name.clone(),
         zone: record.zone.clone(),
         address: record.peer,
-        handle: peer::open(record.peer),
+        handle: peer::connect_lazy(record.peer),
         listed_leaving: leaving,
         summary: None,
         answered_at: None,
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -21,10 +21,10 @@
 use telemetry::event::LogEvent;
 use telemetry::log_event;
 use tokio::sync::watch;
+use wire::backend::{self, TransactionState};
 use wire::frame::RawFrame;
 use wire::frontend::{self, FieldError};
 use wire::refusal::{RefusalReason, RequestRefusal};
-use wire::reply::{self, BlockState};
 
 use crate::cancel::CancelRegistration;
 use crate::database::DatabaseHandle;
@@ -93,7 +93,7 @@
     prepared: HashMap<String, Arc<PreparedText>>,
     batch: CallerBatch,
     pinned: Option<Box<PinnedConnection>>,
-    block: BlockState,
+    block: TransactionState,
     /// Tells that messages are ignored until the next sync.
     skipping: bool,
     registration: CancelRegistration,
@@ -126,7 +126,7 @@
             prepared: HashMap::new(),
             batch: CallerBatch::default(),
             pinned: None,
-            block: BlockState::Idle,
+            block: TransactionState::Idle,
             skipping: false,
             registration: caller.registration,
             instance,
@@ -148,7 +148,7 @@
         if let SessionEnd::Refused(refusal) = &end {
             self.instance.counters.refused(refusal.reason);
             log_event!(LogEvent::RequestRefused, "reason={}", refusal.reason.label());
-            reply::put_refusal(&mut self.output, refusal, true);
+            backend::put_refusal(&mut self.output, refusal, true);
             if self.socket.write(&self.output).await.is_ok() {
                 self.socket.shutdown().await;
             }
@@ -229,7 +229,7 @@
                 self.batch.clear();
                 self.skipping = true;
                 let detail = format!("prepared statement {missing:?} does not exist");
-                reply::put_error(&mut self.output, "26000", &detail);
+                backend::put_error(&mut self.output, "26000", &detail);
                 if self.pinned.is_some() {
                     self.lose_transaction();
                 }
@@ -251,9 +251,9 @@
     async fn finish(&mut self) -> Result<(), SessionEnd> {
         if std::mem::take(&mut self.positions_moved) {
             let token = self.instance.tokens.encode(&self.positions);
-            reply::put_parameter(&mut self.output, SESSION_TOKEN, &token);
+            backend::put_parameter_status(&mut self.output, SESSION_TOKEN, &token);
         }
-        reply::put_ready(&mut self.output, self.block);
+        backend::put_ready_for_query(&mut self.output, self.block);
         self.flush().await
     }
 
@@ -269,7 +269,7 @@
     fn lose_transaction(&mut self) {
         if let Some(pinned) = self.pinned.take() {
             drop(pinned);
-            self.block = BlockState::Failed;
+            self.block = TransactionState::Failed;
         }
     }
 
@@ -282,7 +282,7 @@
             refusal.reason.label(),
             self.registration.process()
         );
-        reply::put_refusal(&mut self.output, &refusal, false);
+        backend::put_refusal(&mut self.output, &refusal, false);
         if synced {
             return self.finish().await;
         }
--- a/crates/proxy/src/session/batch.rs
+++ b/crates/proxy/src/session/batch.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use bytes::BytesMut;
+use wire::backend;
 use wire::frame::RawFrame;
 use wire::frontend::{self, BindFields, FieldError, ObjectFields, ObjectKind, ParseFields};
-use wire::reply;
 use wire::statement::{StatementCache, StatementClass};
 
 /// Statement prepared by a session.
@@ -243,7 +243,7 @@
     fn put(&mut self, message: &BatchMessage) {
         match message {
             BatchMessage::Parse { named: true, text } if self.is_prepared(text) => {
-                self.steps.push_back(ReplyStep::Given(reply::PARSED));
+                self.steps.push_back(ReplyStep::Given(backend::PARSE_COMPLETE));
             }
             BatchMessage::Parse { named, text } => self.parse(*named, text, false),
             BatchMessage::Bind { named, text, frame } => {
@@ -264,7 +264,9 @@
                 self.steps.push_back(ReplyStep::Relayed);
             }
             // The member keeps the statement for other sessions that prepare the same text.
-            BatchMessage::CloseStatement => self.steps.push_back(ReplyStep::Given(reply::CLOSED)),
+            BatchMessage::CloseStatement => {
+                self.steps.push_back(ReplyStep::Given(backend::CLOSE_COMPLETE))
+            }
             BatchMessage::DescribePortal(frame)
             | BatchMessage::Execute(frame)
             | BatchMessage::ClosePortal(frame) => {
--- a/crates/proxy/src/session/exchange.rs
+++ b/crates/proxy/src/session/exchange.rs
@@ -9,9 +9,9 @@
 use net::socket::{FramedSocket, SocketError};
 use state::position::LogPosition;
 use tokio::time::{timeout, timeout_at};
+use wire::backend;
 use wire::frontend;
 use wire::group::{GroupCommand, NOT_PRIMARY};
-use wire::reply;
 
 use super::batch::ReplyStep;
 use super::request::{CallerRequest, RequestBody};
@@ -162,7 +162,7 @@
                 VecDeque::new()
             }
             RequestBody::Batch(batch) => {
-                let steps = batch.encode(&self.connection.prepared, &mut bytes);
+                let steps = batch.encode(&self.connection.prepared_statements, &mut bytes);
                 let end = if request.synced { frontend::SYNC } else { frontend::FLUSH };
                 frontend::put_empty(&mut bytes, end);
                 steps
@@ -195,7 +195,7 @@
                 Err(RelayError::NotRun)
             }
             Ok(Err(error)) => Err(error.into()),
-            Err(_) => Err(MemberError::Silent { limit: PROGRESS_TIMEOUT }.into()),
+            Err(_) => Err(MemberError::Timeout { limit: PROGRESS_TIMEOUT }.into()),
         }
     }
 
@@ -217,15 +217,15 @@
                 continue;
             };
             match frame.tag {
-                reply::PARAMETER | reply::NOTIFICATION => continue,
-                reply::READY => {
+                backend::PARAMETER_STATUS | backend::NOTIFICATION_RESPONSE => continue,
+                backend::READY_FOR_QUERY => {
                     self.give_all(steps);
                     return Ok(());
                 }
-                reply::ERROR
+                backend::ERROR_RESPONSE
                     if first
                         && !self.plan.in_transaction
-                        && reply::read_error_field(frame.body(), b'C') == Some(NOT_PRIMARY) =>
+                        && backend::read_error_field(frame.body(), b'C') == Some(NOT_PRIMARY) =>
                 {
                     return Err(RelayError::NotRun);
                 }
@@ -240,7 +240,7 @@
                 let limit = if self.plan.confirm { HOLD_BYTES } else { RELAY_BYTES };
                 self.output.send_above(limit).await?;
             }
-            if frame.tag == reply::ERROR && !synced {
+            if frame.tag == backend::ERROR_RESPONSE && !synced {
                 return Ok(());
             }
         }
@@ -254,7 +254,7 @@
         };
         match filled {
             Ok(filled) => Ok(filled?),
-            Err(_) => Err(MemberError::Silent { limit: PROGRESS_TIMEOUT }.into()),
+            Err(_) => Err(MemberError::Timeout { limit: PROGRESS_TIMEOUT }.into()),
         }
     }
 
@@ -273,7 +273,7 @@
         let Some(header) = self.connection.peek_header()? else {
             return Ok(());
         };
-        if header.tag != reply::ROW || header.total < WHOLE_ROW_BYTES || self.plan.confirm {
+        if header.tag != backend::DATA_ROW || header.total < WHOLE_ROW_BYTES || self.plan.confirm {
             return Ok(());
         }
         self.check_floor()?;
@@ -295,16 +295,16 @@
     fn note_step(&mut self, tag: u8, steps: &mut VecDeque<ReplyStep>) -> bool {
         let ends_step = matches!(
             tag,
-            reply::PARSED
-                | reply::BOUND
-                | reply::CLOSED
-                | reply::DESCRIPTION
-                | reply::NO_DATA
-                | reply::COMPLETE
-                | reply::EMPTY
-                | reply::SUSPENDED
+            backend::PARSE_COMPLETE
+                | backend::BIND_COMPLETE
+                | backend::CLOSE_COMPLETE
+                | backend::ROW_DESCRIPTION
+                | backend::NO_DATA
+                | backend::COMMAND_COMPLETE
+                | backend::EMPTY_QUERY_RESPONSE
+                | backend::PORTAL_SUSPENDED
         );
-        if tag == reply::ERROR {
+        if tag == backend::ERROR_RESPONSE {
             steps.clear();
             return true;
         }
@@ -313,7 +313,7 @@
         }
         match steps.pop_front() {
             Some(ReplyStep::Parsed { id, hidden }) => {
-                self.connection.prepared.extend(id);
+                self.connection.prepared_statements.extend(id);
                 !hidden
             }
             _ => true,
--- a/crates/proxy/src/session/local.rs
+++ b/crates/proxy/src/session/local.rs
@@ -6,8 +6,8 @@
     DataRow, FieldDescription, NoData, ParameterDescription, RowDescription,
 };
 use pgwire::messages::extendedquery::{BindComplete, CloseComplete, ParseComplete};
+use wire::backend;
 use wire::refusal::{RefusalReason, RequestRefusal};
-use wire::reply;
 use wire::statement::SessionStatement;
 
 use super::CallerSession;
@@ -108,17 +108,17 @@
             let output = &mut self.output;
             match message {
                 BatchMessage::Parse { .. } => {
-                    reply::put(output, PgWireBackendMessage::ParseComplete(ParseComplete::new()));
+                    backend::put(output, PgWireBackendMessage::ParseComplete(ParseComplete::new()));
                 }
                 BatchMessage::Bind { .. } => {
-                    reply::put(output, PgWireBackendMessage::BindComplete(BindComplete::new()));
+                    backend::put(output, PgWireBackendMessage::BindComplete(BindComplete::new()));
                 }
                 BatchMessage::CloseStatement | BatchMessage::ClosePortal(_) => {
-                    reply::put(output, PgWireBackendMessage::CloseComplete(CloseComplete::new()));
+                    backend::put(output, PgWireBackendMessage::CloseComplete(CloseComplete::new()));
                 }
                 BatchMessage::DescribeStatement { .. } => {
                     let types = ParameterDescription::new(Vec::new());
-                    reply::put(output, PgWireBackendMessage::ParameterDescription(types));
+                    backend::put(output, PgWireBackendMessage::ParameterDescription(types));
                     self.put_shape(answer);
                 }
                 BatchMessage::DescribePortal(_) => self.put_shape(answer),
@@ -131,7 +131,7 @@
         match answer {
             LocalAnswer::Value { name, .. } => self.put_description(name),
             LocalAnswer::Command(_) | LocalAnswer::Empty => {
-                reply::put(&mut self.output, PgWireBackendMessage::NoData(NoData::new()));
+                backend::put(&mut self.output, PgWireBackendMessage::NoData(NoData::new()));
             }
         }
     }
@@ -139,20 +139,20 @@
     fn put_description(&mut self, name: &str) {
         let field = FieldDescription::new(name.to_owned(), 0, 0, TEXT_OID, -1, -1, 0);
         let message = RowDescription::new(vec![field]);
-        reply::put(&mut self.output, PgWireBackendMessage::RowDescription(message));
+        backend::put(&mut self.output, PgWireBackendMessage::RowDescription(message));
     }
 
     fn put_execution(&mut self, answer: &LocalAnswer) {
         match answer {
-            LocalAnswer::Command(tag) => reply::put_complete(&mut self.output, tag),
-            LocalAnswer::Empty => reply::put_empty(&mut self.output),
+            LocalAnswer::Command(tag) => backend::put_command_complete(&mut self.output, tag),
+            LocalAnswer::Empty => backend::put_empty_query_response(&mut self.output),
             LocalAnswer::Value { value, .. } => {
                 let mut data = bytes::BytesMut::new();
                 data.extend_from_slice(&(value.len() as i32).to_be_bytes());
                 data.extend_from_slice(value.as_bytes());
                 let row = PgWireBackendMessage::DataRow(DataRow::new(data, 1));
-                reply::put(&mut self.output, row);
-                reply::put_complete(&mut self.output, "SHOW");
+                backend::put(&mut self.output, row);
+                backend::put_command_complete(&mut self.output, "SHOW");
             }
         }
     }
--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -10,8 +10,8 @@
 use telemetry::event::LogEvent;
 use telemetry::log_event;
 use tokio::time::{sleep, timeout_at};
+use wire::backend::{self, TransactionState};
 use wire::refusal::{RefusalReason, RequestRefusal};
-use wire::reply::{self, BlockState};
 use wire::statement::StatementKind;
 
 use super::admit::RequestTerms;
@@ -64,7 +64,7 @@
     pub(super) async fn serve(&mut self, request: CallerRequest) -> Result<(), SessionEnd> {
         self.check_key()?;
         self.instance.counters.requests.increment(1);
-        if self.block == BlockState::Failed && self.pinned.is_none() {
+        if self.block == TransactionState::Failed && self.pinned.is_none() {
             return self.serve_lost_block(&request).await;
         }
         if let Some(answer) = self.local_answer(&request) {
@@ -107,14 +107,14 @@
     async fn serve_lost_block(&mut self, request: &CallerRequest) -> Result<(), SessionEnd> {
         match request.class.kind {
             StatementKind::Commit | StatementKind::Rollback => {
-                self.block = BlockState::Idle;
+                self.block = TransactionState::Idle;
                 self.put_local(&request.body, &LocalAnswer::Command("ROLLBACK"));
                 self.end_request(request.synced).await
             }
             _ => {
                 let detail = "current transaction is aborted, commands ignored until end of \
                               transaction block";
-                reply::put_error(&mut self.output, "25P02", detail);
+                backend::put_error(&mut self.output, "25P02", detail);
                 self.skipping = !request.synced;
                 self.end_request(request.synced).await
             }
@@ -144,8 +144,8 @@
         let Some(mut pinned) = self.pinned.take() else {
             return Ok(Ok(()));
         };
-        let commits =
-            request.may_commit(self.block != BlockState::Idle) && self.block != BlockState::Failed;
+        let commits = request.may_commit(self.block != TransactionState::Idle)
+            && self.block != TransactionState::Failed;
         let plan = ExchangePlan {
             label: commits.then(|| self.instance.next_label()),
             confirm: commits,
@@ -162,13 +162,13 @@
             ExchangeEnd::CallerGone => Err(SessionEnd::Closed),
             ExchangeEnd::Lost(_) if commits && !sent => {
                 drop(pinned);
-                self.block = BlockState::Idle;
+                self.block = TransactionState::Idle;
                 let label = plan.label.unwrap_or_default();
                 Ok(self.end_lost_commit(&label, answered, request, terms).await)
             }
             ExchangeEnd::NotRun | ExchangeEnd::Stale | ExchangeEnd::Lost(_) => {
                 drop(pinned);
-                self.block = BlockState::Failed;
+                self.block = TransactionState::Failed;
                 if sent {
                     return Err(broken_answer());
                 }
@@ -369,7 +369,7 @@
         let pool = &self.database.members[target.member].pool;
         let taken = tokio::select! {
             biased;
-            taken = pool.take(self.team, deadline) => taken,
+            taken = pool.acquire(self.team, deadline) => taken,
             () = self.replaced(target) => return Err(AttemptEnd::Retry(RetryReason::NotPrimary)),
             () = self.registration.slot().cancelled() => {
                 let detail = "the statement was cancelled before it started";
@@ -378,16 +378,16 @@
             }
         };
         taken.map_err(|error| match error {
-            PoolError::Full => {
+            PoolError::QueueFull => {
                 let detail = "the team has too many requests waiting";
                 AttemptEnd::Refused(RequestRefusal::new(RefusalReason::QueueFull, detail))
             }
-            PoolError::Late { retry_after } => {
+            PoolError::DeadlineExceeded { retry_after } => {
                 let detail = "the request cannot start before its deadline";
                 let refusal = RequestRefusal::new(RefusalReason::DeadlinePassed, detail);
                 AttemptEnd::Refused(refusal.with_retry_after(retry_after))
             }
-            PoolError::Open { .. } => AttemptEnd::Retry(RetryReason::ConnectFailed),
+            PoolError::Connect { .. } => AttemptEnd::Retry(RetryReason::ConnectFailed),
         })
     }
 
@@ -408,7 +408,7 @@
         member: usize,
         terms: &RequestTerms,
     ) -> ExchangeReport {
-        let connection = connection.get();
+        let connection = connection.connection_mut();
         self.registration.slot().set_running(connection.cancel_handle());
         let term = connection.position().map(|position| position.term);
         let mark = self.output.len();
@@ -437,7 +437,7 @@
                 // Of a plain read that the caller has in part only this member has the rest.
                 () = given_up => match plan.is_plain_read() && sent.load(Ordering::Relaxed) {
                     true => run.await,
-                    false => ExchangeEnd::Lost(MemberError::Protocol { what: GIVEN_UP }),
+                    false => ExchangeEnd::Lost(MemberError::Protocol { detail: GIVEN_UP }),
                 },
             }
         };
@@ -461,9 +461,9 @@
         request: &CallerRequest,
     ) {
         let unfinished = !request.synced;
-        self.block = connection.get().state();
-        if self.block == BlockState::Idle && !unfinished {
-            connection.recycle();
+        self.block = connection.connection_mut().state();
+        if self.block == TransactionState::Idle && !unfinished {
+            connection.release();
             return;
         }
         let pinned = PinnedConnection { connection, member, unfinished };
--- a/crates/proxy/src/session/settle.rs
+++ b/crates/proxy/src/session/settle.rs
@@ -34,7 +34,7 @@
         while self.instance.now() < deadline {
             match timeout_at(deadline.into(), self.ask_outcome(&command)).await {
                 Ok(Some(outcome)) => {
-                    log_event!(LogEvent::OutcomeSettled, "label={label} outcome={outcome:?}");
+                    log_event!(LogEvent::OutcomeResolved, "label={label} outcome={outcome:?}");
                     return outcome;
                 }
                 Ok(None) => sleep(SETTLE_INTERVAL).await,
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -15,9 +15,9 @@
 use state::credential::KeyHash;
 use state::session::SessionPositions;
 use tokio::time::timeout;
+use wire::backend::{self, TransactionState};
 use wire::frontend;
 use wire::refusal::{RefusalReason, RequestRefusal};
-use wire::reply::{self, BlockState};
 
 use crate::cancel::CancelRegistration;
 use crate::instance::{InstancePhase, ProxyInstance};
@@ -95,15 +95,15 @@
     let positions = read_options(instance, &startup, &mut parameters)?;
     let registration = instance.cancels.register();
     let mut output = BytesMut::new();
-    reply::put(&mut output, PgWireBackendMessage::Authentication(Authentication::Ok));
+    backend::put(&mut output, PgWireBackendMessage::Authentication(Authentication::Ok));
     for (name, value) in REPORTED {
-        reply::put_parameter(&mut output, name, value);
+        backend::put_parameter_status(&mut output, name, value);
     }
-    reply::put_parameter(&mut output, INSTANCE_NAME, &instance.settings.instance);
+    backend::put_parameter_status(&mut output, INSTANCE_NAME, &instance.settings.instance);
     let secret = SecretKey::I32(registration.secret());
     let key = BackendKeyData::new(registration.process(), secret);
-    reply::put(&mut output, PgWireBackendMessage::BackendKeyData(key));
-    reply::put_ready(&mut output, BlockState::Idle);
+    backend::put(&mut output, PgWireBackendMessage::BackendKeyData(key));
+    backend::put_ready_for_query(&mut output, TransactionState::Idle);
     socket.write(&output).await?;
     Ok(StartedCaller { identity, parameters, positions, registration })
 }
@@ -168,7 +168,7 @@
     let unknown = parameters.keys().filter(|name| name.starts_with("_pq_.")).cloned().collect();
     let message = NegotiateProtocolVersion::new(OFFERED_MINOR, unknown);
     let mut output = BytesMut::new();
-    reply::put(&mut output, PgWireBackendMessage::NegotiateProtocolVersion(message));
+    backend::put(&mut output, PgWireBackendMessage::NegotiateProtocolVersion(message));
     Ok(socket.write(&output).await?)
 }
 
@@ -215,7 +215,7 @@
 async fn ask_password(socket: &mut FramedSocket) -> Result<String, StartupEnd> {
     let mut output = BytesMut::new();
     let request = Authentication::CleartextPassword;
-    reply::put(&mut output, PgWireBackendMessage::Authentication(request));
+    backend::put(&mut output, PgWireBackendMessage::Authentication(request));
     socket.write(&output).await?;
     loop {
         if let Some(header) = socket.peek_header()?
--- a/crates/proxy/src/watcher.rs
+++ b/crates/proxy/src/watcher.rs
@@ -51,7 +51,7 @@
                 database.record_loss(index, &error);
             }
         }
-        database.members[index].pool.close_idle(Instant::now());
+        database.members[index].pool.evict_idle(Instant::now());
     }
 }
 
@@ -62,11 +62,11 @@
 ) -> Result<MemberStatus, MemberError> {
     if connection.is_none() {
         let open = timeout(STATUS_TIMEOUT, database.members[index].open_control()).await;
-        *connection = Some(open.map_err(|_| MemberError::Silent { limit: STATUS_TIMEOUT })??);
+        *connection = Some(open.map_err(|_| MemberError::Timeout { limit: STATUS_TIMEOUT })??);
     }
     match connection {
         Some(connection) => connection.status(STATUS_TIMEOUT).await,
-        None => Err(MemberError::Silent { limit: STATUS_TIMEOUT }),
+        None => Err(MemberError::Timeout { limit: STATUS_TIMEOUT }),
     }
 }
 
@@ -104,9 +104,9 @@
     let status = connection.read_command_answer().await?;
     connection.read_command_answer().await?;
     let status: MemberStatus =
-        status.parse().map_err(|_| MemberError::Protocol { what: "a status" })?;
+        status.parse().map_err(|_| MemberError::Protocol { detail: "a status" })?;
     if status.position.role != MemberRole::Primary {
-        return Err(MemberError::Protocol { what: "a primary" });
+        return Err(MemberError::Protocol { detail: "a primary" });
     }
     Ok(status.position)
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -80,6 +80,6 @@
     let listener = TcpListener::bind(address).await.context(ListenSnafu { address })?;
     tokio::select! {
         served = control::serve(listener, hub) => Ok(served?),
-        () = program::stop_signal() => Ok(()),
+        () = program::shutdown_signal() => Ok(()),
     }
 }
--- a/crates/standin/src/session.rs
+++ b/crates/standin/src/session.rs
@@ -21,8 +21,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 use tokio::time::sleep;
-use wire::group::{NOT_PRIMARY, POSITION_PARAMETER, TERM_REFUSED, TOO_MANY_CONNECTIONS};
-use wire::reply::{self, BlockState};
+use wire::backend::{self, TransactionState};
+use wire::group::{NOT_PRIMARY, POSITION_PARAMETER, STALE_TERM, TOO_MANY_CONNECTIONS};
 
 use crate::engine::{EngineConnection, EngineError};
 use crate::group::{GroupSettings, zone_delay};
@@ -85,7 +85,7 @@
     fn from(error: MemberError) -> Self {
         match error {
             MemberError::NotPrimary => Self::new(NOT_PRIMARY, error.to_string()),
-            MemberError::TermRefused { .. } => Self::new(TERM_REFUSED, error.to_string()),
+            MemberError::TermRefused { .. } => Self::new(STALE_TERM, error.to_string()),
             MemberError::Engine { source } => source.into(),
         }
     }
@@ -106,7 +106,7 @@
     pub(crate) generation: u64,
     pub(crate) number: u64,
     pub(crate) delay: Duration,
-    pub(crate) state: BlockState,
+    pub(crate) state: TransactionState,
     pub(crate) writer: Option<tokio::sync::OwnedMutexGuard<()>>,
     pub(crate) logged: Vec<LoggedStatement>,
     pub(crate) label: Option<String>,
@@ -190,7 +190,7 @@
         count = Some(ConnectionCount(member.clone()));
         if before >= settings.connections {
             let mut output = BytesMut::new();
-            reply::put_error(&mut output, TOO_MANY_CONNECTIONS, "too many connections");
+            backend::put_error(&mut output, TOO_MANY_CONNECTIONS, "too many connections");
             socket.write_all(&output).await?;
             return Ok(());
         }
@@ -214,7 +214,7 @@
         generation,
         number,
         delay,
-        state: BlockState::Idle,
+        state: TransactionState::Idle,
         writer: None,
         logged: Vec::new(),
         label: None,
@@ -294,7 +294,7 @@
     }
 
     async fn greet(&mut self) -> Result<(), SessionEnd> {
-        reply::put(&mut self.output, PgWireBackendMessage::Authentication(Authentication::Ok));
+        backend::put(&mut self.output, PgWireBackendMessage::Authentication(Authentication::Ok));
         for (name, value) in [
             ("server_version", "15.0"),
             ("server_encoding", "UTF8"),
@@ -303,10 +303,10 @@
             ("integer_datetimes", "on"),
             ("standard_conforming_strings", "on"),
         ] {
-            reply::put_parameter(&mut self.output, name, value);
+            backend::put_parameter_status(&mut self.output, name, value);
         }
         let key = BackendKeyData::new(self.number as i32, SecretKey::I32(self.number as i32));
-        reply::put(&mut self.output, PgWireBackendMessage::BackendKeyData(key));
+        backend::put(&mut self.output, PgWireBackendMessage::BackendKeyData(key));
         self.put_ready();
         self.flush().await
     }
@@ -315,12 +315,12 @@
     async fn read(&mut self) -> Result<(), SessionEnd> {
         let mut changes = self.member.changed.subscribe();
         loop {
-            if self.state != BlockState::Idle && self.is_outdated() {
-                reply::put_error(&mut self.output, NOT_PRIMARY, "the primary was replaced");
+            if self.state != TransactionState::Idle && self.is_outdated() {
+                backend::put_error(&mut self.output, NOT_PRIMARY, "the primary was replaced");
                 self.flush().await?;
                 return Err(SessionEnd::Dropped);
             }
-            let in_transaction = self.state != BlockState::Idle;
+            let in_transaction = self.state != TransactionState::Idle;
             tokio::select! {
                 read = self.socket.read_buf(&mut self.input) => {
                     if read? == 0 {
@@ -368,7 +368,7 @@
         if !self.is_outdated() {
             return Ok(());
         }
-        if self.state != BlockState::Idle {
+        if self.state != TransactionState::Idle {
             return Err(StatementRefusal::new(NOT_PRIMARY, "the primary was replaced"));
         }
         let core = self.member.core.lock();
@@ -382,10 +382,10 @@
     }
 
     pub(crate) fn refuse(&mut self, refusal: &StatementRefusal) {
-        if self.state == BlockState::Open {
-            self.state = BlockState::Failed;
+        if self.state == TransactionState::Open {
+            self.state = TransactionState::Failed;
         }
-        reply::put_error(&mut self.output, refusal.sqlstate, &refusal.message);
+        backend::put_error(&mut self.output, refusal.sqlstate, &refusal.message);
     }
 
     /// Reports the member's position if it moved since the last report.
@@ -393,13 +393,17 @@
         let position = self.member.core.lock().position();
         if self.reported != Some(position) {
             self.reported = Some(position);
-            reply::put_parameter(&mut self.output, POSITION_PARAMETER, &position.to_string());
+            backend::put_parameter_status(
+                &mut self.output,
+                POSITION_PARAMETER,
+                &position.to_string(),
+            );
         }
     }
 
     pub(crate) fn put_ready(&mut self) {
         self.report_position();
-        reply::put_ready(&mut self.output, self.state);
+        backend::put_ready_for_query(&mut self.output, self.state);
     }
 
     pub(crate) async fn flush_if_large(&mut self) -> Result<(), SessionEnd> {
--- a/crates/standin/src/session/extended.rs
+++ b/crates/standin/src/session/extended.rs
@@ -10,7 +10,7 @@
     Bind, BindComplete, CloseComplete, Describe, Execute, Parse, ParseComplete, PortalSuspended,
 };
 use rusqlite::types::Value;
-use wire::reply::{self, BlockState};
+use wire::backend::{self, TransactionState};
 
 use super::simple::BlockAction;
 use super::{MemberSession, SessionEnd, StatementRefusal};
@@ -56,7 +56,7 @@
                     self.portals.remove(&name);
                 }
                 let message = PgWireBackendMessage::CloseComplete(CloseComplete::new());
-                reply::put(&mut self.output, message);
+                backend::put(&mut self.output, message);
                 Ok(Ok(()))
             }
             _ => Ok(Err(StatementRefusal::new("0A000", "message is not supported"))),
@@ -66,7 +66,7 @@
     /// Ends an extended exchange; portals live no longer than their transaction.
     pub(crate) async fn sync(&mut self) -> Result<(), SessionEnd> {
         self.skipping = false;
-        if self.state == BlockState::Idle {
+        if self.state == TransactionState::Idle {
             self.portals.clear();
         }
         self.put_ready();
@@ -85,7 +85,7 @@
         let name = parse.name.unwrap_or_default();
         self.statements.insert(name, PreparedStatement { sql, shape });
         let message = PgWireBackendMessage::ParseComplete(ParseComplete::new());
-        reply::put(&mut self.output, message);
+        backend::put(&mut self.output, message);
         Ok(())
     }
 
@@ -106,7 +106,7 @@
         };
         self.portals.insert(bind.portal_name.unwrap_or_default(), portal);
         let message = PgWireBackendMessage::BindComplete(BindComplete::new());
-        reply::put(&mut self.output, message);
+        backend::put(&mut self.output, message);
         Ok(())
     }
 
@@ -117,7 +117,7 @@
                 return Err(StatementRefusal::new("26000", "prepared statement does not exist"));
             };
             let types = ParameterDescription::new(statement.shape.parameters.clone());
-            reply::put(&mut self.output, PgWireBackendMessage::ParameterDescription(types));
+            backend::put(&mut self.output, PgWireBackendMessage::ParameterDescription(types));
             (statement.shape.columns.clone(), Vec::new())
         } else {
             let Some(portal) = self.portals.get(&name) else {
@@ -126,7 +126,7 @@
             (portal.shape.columns.clone(), portal.formats.clone())
         };
         if columns.is_empty() {
-            reply::put(&mut self.output, PgWireBackendMessage::NoData(NoData::new()));
+            backend::put(&mut self.output, PgWireBackendMessage::NoData(NoData::new()));
         } else {
             self.put_description(&columns, &formats);
         }
@@ -139,7 +139,7 @@
             return Ok(Err(StatementRefusal::new("34000", "portal does not exist")));
         };
         if portal.sql.is_empty() {
-            reply::put_empty(&mut self.output);
+            backend::put_empty_query_response(&mut self.output);
             return Ok(Ok(()));
         }
         if portal.pending.is_none() {
@@ -172,10 +172,10 @@
             self.flush_if_large().await?;
         }
         if pending.is_empty() {
-            reply::put_complete(&mut self.output, &portal.tag);
+            backend::put_command_complete(&mut self.output, &portal.tag);
         } else {
             let message = PgWireBackendMessage::PortalSuspended(PortalSuspended::new());
-            reply::put(&mut self.output, message);
+            backend::put(&mut self.output, message);
         }
         Ok(())
     }
--- a/crates/standin/src/session/simple.rs
+++ b/crates/standin/src/session/simple.rs
@@ -9,8 +9,8 @@
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::parser::Parser;
 use tokio::time::sleep;
+use wire::backend::{self, TransactionState};
 use wire::group::{GroupCommand, NOT_PRIMARY};
-use wire::reply::{self, BlockState};
 
 use super::transaction::ConfirmEnd;
 use super::{MemberSession, SessionEnd, StatementRefusal};
@@ -60,13 +60,13 @@
         self.report_position();
         let statements = split_statements(text);
         if statements.is_empty() {
-            reply::put_empty(&mut self.output);
+            backend::put_empty_query_response(&mut self.output);
         }
-        let implicit = statements.len() > 1 && self.state == BlockState::Idle;
+        let implicit = statements.len() > 1 && self.state == TransactionState::Idle;
         let run = self.run_statements(&statements, implicit).await?;
         if let Err(refusal) = run {
             self.refuse(&refusal);
-            if implicit || self.state == BlockState::Idle {
+            if implicit || self.state == TransactionState::Idle {
                 self.abandon();
             }
         }
@@ -102,7 +102,7 @@
                 return Err(SessionEnd::Dropped);
             }
             self.put_result(&result, &[]).await?;
-            reply::put_complete(&mut self.output, &tag);
+            backend::put_command_complete(&mut self.output, &tag);
         }
         if opened {
             if let Err(refusal) = self.commit().await {
@@ -123,7 +123,7 @@
         formats: &[i16],
     ) -> Result<(String, StatementResult), StatementRefusal> {
         let action = BlockAction::of(sql);
-        if self.state == BlockState::Failed
+        if self.state == TransactionState::Failed
             && !matches!(action, BlockAction::Commit | BlockAction::Rollback)
         {
             return Err(StatementRefusal::new(
@@ -134,18 +134,18 @@
         let done = |tag: &str| Ok((tag.to_owned(), StatementResult::default()));
         match action {
             BlockAction::Begin | BlockAction::BeginRead => {
-                if self.state == BlockState::Idle {
+                if self.state == TransactionState::Idle {
                     self.begin(action == BlockAction::Begin).await?;
-                    self.state = BlockState::Open;
+                    self.state = TransactionState::Open;
                 }
                 done("BEGIN")
             }
-            BlockAction::Commit if self.state == BlockState::Failed => {
+            BlockAction::Commit if self.state == TransactionState::Failed => {
                 self.abandon();
                 done("ROLLBACK")
             }
-            BlockAction::Commit if self.state == BlockState::Open => {
-                self.state = BlockState::Idle;
+            BlockAction::Commit if self.state == TransactionState::Open => {
+                self.state = TransactionState::Idle;
                 self.commit().await?;
                 done("COMMIT")
             }
@@ -155,7 +155,7 @@
                 done("ROLLBACK")
             }
             BlockAction::Parameter => Ok(parameter_answer(sql)),
-            BlockAction::None if self.state == BlockState::Open => {
+            BlockAction::None if self.state == TransactionState::Open => {
                 self.run_in_block(sql, parameters, formats).await
             }
             BlockAction::None => self.run_alone(sql, parameters, formats).await,
@@ -243,13 +243,13 @@
             FieldDescription::new(column.name.clone(), 0, 0, column.oid, size, -1, format)
         });
         let description = RowDescription::new(fields.collect());
-        reply::put(&mut self.output, PgWireBackendMessage::RowDescription(description));
+        backend::put(&mut self.output, PgWireBackendMessage::RowDescription(description));
     }
 
     pub(crate) fn put_row(&mut self, mut body: bytes::BytesMut) {
         let data = body.split_off(2);
         let count = i16::from_be_bytes([body[0], body[1]]);
-        reply::put(&mut self.output, PgWireBackendMessage::DataRow(DataRow::new(data, count)));
+        backend::put(&mut self.output, PgWireBackendMessage::DataRow(DataRow::new(data, count)));
     }
 
     async fn group_command(&mut self, command: GroupCommand) -> Result<(), SessionEnd> {
@@ -262,10 +262,10 @@
                 body.extend_from_slice(&(text.len() as i32).to_be_bytes());
                 body.extend_from_slice(text.as_bytes());
                 self.put_row(body);
-                reply::put_complete(&mut self.output, "CALL");
+                backend::put_command_complete(&mut self.output, "CALL");
             }
             Err(refusal) => {
-                reply::put_error(&mut self.output, refusal.sqlstate, &refusal.message);
+                backend::put_error(&mut self.output, refusal.sqlstate, &refusal.message);
             }
         }
         self.put_ready();
--- a/crates/standin/src/session/transaction.rs
+++ b/crates/standin/src/session/transaction.rs
@@ -1,8 +1,8 @@
 //! Transactions of a session: begin, commit into the log, roll back, confirm.
 
 use tokio::time::Duration;
+use wire::backend::TransactionState;
 use wire::group::NOT_PRIMARY;
-use wire::reply::BlockState;
 
 use super::{MemberSession, StatementRefusal};
 use crate::engine::EngineError;
@@ -87,7 +87,7 @@
         self.writer = None;
         self.logged.clear();
         self.label = None;
-        self.state = BlockState::Idle;
+        self.state = TransactionState::Idle;
     }
 
     /// Waits until a majority holds what this session committed, in the term of this primary.
--- a/crates/telemetry/src/bounded.rs
+++ b/crates/telemetry/src/bounded.rs
@@ -109,7 +109,7 @@
             (budget.take(now), budget.report(now))
         };
         if let Some(count) = left_out {
-            let event = LogEvent::LinesLeftOut;
+            let event = LogEvent::LinesDropped;
             let arguments = format_args!("{event} count={count}");
             let report = Record::builder()
                 .level(event.level())
--- a/crates/telemetry/src/event.rs
+++ b/crates/telemetry/src/event.rs
@@ -40,7 +40,7 @@
     /// The settings file was read again.
     SettingsReloaded = 1004, Info, "settings_reloaded";
     /// Log lines were left out to bound their volume.
-    LinesLeftOut = 1005, Warn, "lines_left_out";
+    LinesDropped = 1005, Warn, "lines_left_out";
     /// A document came into force on this instance.
     DocumentInForce = 1101, Info, "document_in_force";
     /// A document was refused by this instance.
@@ -62,7 +62,7 @@
     /// A request is tried again.
     RequestRetried = 2004, Info, "request_retried";
     /// The outcome of a request whose answer was lost is known.
-    OutcomeSettled = 2005, Info, "outcome_settled";
+    OutcomeResolved = 2005, Info, "outcome_settled";
     /// An answer was dropped because its position does not cover the session.
     AnswerStale = 2006, Warn, "answer_stale";
     /// The connection that carried a request was lost.
@@ -96,13 +96,13 @@
     /// Another instance is gone.
     PeerLost = 5002, Warn, "peer_lost";
     /// An allotment ledger was counted anew.
-    LedgerCounted = 5003, Info, "ledger_counted";
+    LedgerReconciled = 5003, Info, "ledger_counted";
     /// An instance that could not be reached for long is no longer counted.
-    PeerForgotten = 5004, Info, "peer_forgotten";
+    PeerExpired = 5004, Info, "peer_forgotten";
     /// This instance took or lost the duty to promote.
-    DutyChanged = 5005, Info, "duty_changed";
+    PromotionLeaseChanged = 5005, Info, "duty_changed";
     /// A step towards the duty to promote failed.
-    DutyRefused = 5006, Warn, "duty_refused";
+    PromotionLeaseFailed = 5006, Warn, "duty_refused";
     /// The instance starts to drain.
     DrainStarted = 6001, Info, "drain_started";
     /// The instance has drained or reached its drain deadline.
--- a/crates/telemetry/src/meter.rs
+++ b/crates/telemetry/src/meter.rs
@@ -20,11 +20,11 @@
 /// Promotions started by this instance, by outcome.
 pub const PROMOTIONS: &str = "hibiscus_promotions_total";
 /// Operations on the platform's services, by kind and outcome.
-pub const PLATFORM: &str = "hibiscus_platform_operations_total";
+pub const PLATFORM_OPERATIONS: &str = "hibiscus_platform_operations_total";
 /// Statements that wait or run at endpoints held here.
 pub const ENDPOINT_WORK: &str = "hibiscus_endpoint_work";
 /// Revision of the document in force.
-pub const REVISION: &str = "hibiscus_document_revision";
+pub const DOCUMENT_REVISION: &str = "hibiscus_document_revision";
 /// Messages exchanged with peers, by kind.
 pub const PEER_MESSAGES: &str = "hibiscus_peer_messages_total";
 
--- a/crates/telemetry/src/program.rs
+++ b/crates/telemetry/src/program.rs
@@ -8,13 +8,13 @@
 use crate::logging::{self, LoggingSettings};
 
 /// Exit status of a program whose settings are wrong.
-pub const SETTINGS_STATUS: u8 = 2;
+pub const SETTINGS_EXIT_CODE: u8 = 2;
 
 /// Starts logging and says which program runs; an error ends the program.
 pub fn begin(name: &str, settings: &LoggingSettings) -> Result<(), ExitCode> {
     if let Err(error) = logging::start(settings) {
         eprintln!("{name}: {error}");
-        return Err(ExitCode::from(SETTINGS_STATUS));
+        return Err(ExitCode::from(SETTINGS_EXIT_CODE));
     }
     log_event!(LogEvent::ProgramStarted, "program={name} version={}", env!("CARGO_PKG_VERSION"));
     Ok(())
@@ -35,7 +35,7 @@
 }
 
 /// Waits for SIGTERM or SIGINT.
-pub async fn stop_signal() {
+pub async fn shutdown_signal() {
     use tokio::signal::unix::{SignalKind, signal};
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
--- a/crates/wire/src/reply.rs
+++ b/crates/wire/src/backend.rs
@@ -11,37 +11,37 @@
 use crate::refusal::RequestRefusal;
 
 /// Tag of an error.
-pub const ERROR: u8 = b'E';
+pub const ERROR_RESPONSE: u8 = b'E';
 /// Tag of a ready-for-query message.
-pub const READY: u8 = b'Z';
+pub const READY_FOR_QUERY: u8 = b'Z';
 /// Tag of a parameter status.
-pub const PARAMETER: u8 = b'S';
+pub const PARAMETER_STATUS: u8 = b'S';
 /// Tag of a completed command.
-pub const COMPLETE: u8 = b'C';
+pub const COMMAND_COMPLETE: u8 = b'C';
 /// Tag of an empty query's answer.
-pub const EMPTY: u8 = b'I';
+pub const EMPTY_QUERY_RESPONSE: u8 = b'I';
 /// Tag of a suspended portal.
-pub const SUSPENDED: u8 = b's';
+pub const PORTAL_SUSPENDED: u8 = b's';
 /// Tag of a completed parse.
-pub const PARSED: u8 = b'1';
+pub const PARSE_COMPLETE: u8 = b'1';
 /// Tag of a completed bind.
-pub const BOUND: u8 = b'2';
+pub const BIND_COMPLETE: u8 = b'2';
 /// Tag of a completed close.
-pub const CLOSED: u8 = b'3';
+pub const CLOSE_COMPLETE: u8 = b'3';
 /// Tag of a row description.
-pub const DESCRIPTION: u8 = b'T';
+pub const ROW_DESCRIPTION: u8 = b'T';
 /// Tag of the answer that a statement returns no rows.
 pub const NO_DATA: u8 = b'n';
 /// Tag of a data row.
-pub const ROW: u8 = b'D';
+pub const DATA_ROW: u8 = b'D';
 /// Tag of a notice.
-pub const NOTICE: u8 = b'N';
+pub const NOTICE_RESPONSE: u8 = b'N';
 /// Tag of a notification.
-pub const NOTIFICATION: u8 = b'A';
+pub const NOTIFICATION_RESPONSE: u8 = b'A';
 
 /// Transaction state that a ready-for-query message reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum BlockState {
+pub enum TransactionState {
     /// Outside a transaction.
     Idle,
     /// Inside a transaction.
@@ -50,7 +50,7 @@
     Failed,
 }
 
-impl BlockState {
+impl TransactionState {
     fn status(self) -> TransactionStatus {
         match self {
             Self::Idle => TransactionStatus::Idle,
@@ -61,17 +61,17 @@
 }
 
 /// Reads the state from the body of a ready-for-query message.
-pub fn read_ready(body: &[u8]) -> Option<BlockState> {
+pub fn read_transaction_state(body: &[u8]) -> Option<TransactionState> {
     match body.first()? {
-        b'I' => Some(BlockState::Idle),
-        b'T' => Some(BlockState::Open),
-        b'E' => Some(BlockState::Failed),
+        b'I' => Some(TransactionState::Idle),
+        b'T' => Some(TransactionState::Open),
+        b'E' => Some(TransactionState::Failed),
         _ => None,
     }
 }
 
 /// Reads name and value from the body of a parameter status.
-pub fn read_parameter(body: &[u8]) -> Option<(&str, &str)> {
+pub fn read_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     let mut parts = body.split(|byte| *byte == 0);
     let name = std::str::from_utf8(parts.next()?).ok()?;
     let value = std::str::from_utf8(parts.next()?).ok()?;
@@ -86,7 +86,7 @@
 }
 
 /// Reads the text columns of a data row.
-pub fn read_row(body: &[u8]) -> Vec<Option<String>> {
+pub fn read_data_row(body: &[u8]) -> Vec<Option<String>> {
     let mut columns = Vec::new();
     let mut rest = body.get(2..).unwrap_or_default();
     while let Some((length, tail)) = rest.split_first_chunk::<4>() {
@@ -118,23 +118,23 @@
 }
 
 /// Writes a ready-for-query message.
-pub fn put_ready(buffer: &mut BytesMut, state: BlockState) {
+pub fn put_ready_for_query(buffer: &mut BytesMut, state: TransactionState) {
     put(buffer, PgWireBackendMessage::ReadyForQuery(ReadyForQuery::new(state.status())));
 }
 
 /// Writes a parameter status.
-pub fn put_parameter(buffer: &mut BytesMut, name: &str, value: &str) {
+pub fn put_parameter_status(buffer: &mut BytesMut, name: &str, value: &str) {
     let message = ParameterStatus::new(name.to_owned(), value.to_owned());
     put(buffer, PgWireBackendMessage::ParameterStatus(message));
 }
 
 /// Writes the completion of a command.
-pub fn put_complete(buffer: &mut BytesMut, tag: &str) {
+pub fn put_command_complete(buffer: &mut BytesMut, tag: &str) {
     put(buffer, PgWireBackendMessage::CommandComplete(CommandComplete::new(tag.to_owned())));
 }
 
 /// Writes the answer to an empty query.
-pub fn put_empty(buffer: &mut BytesMut) {
+pub fn put_empty_query_response(buffer: &mut BytesMut) {
     put(buffer, PgWireBackendMessage::EmptyQueryResponse(EmptyQueryResponse::new()));
 }
 
--- a/crates/wire/src/group.rs
+++ b/crates/wire/src/group.rs
@@ -7,7 +7,7 @@
 /// SQLSTATE by which a member says that it did not run a statement because it is not the primary.
 pub const NOT_PRIMARY: &str = "25006";
 /// SQLSTATE by which a member refuses a group command of a term that is not new.
-pub const TERM_REFUSED: &str = "55000";
+pub const STALE_TERM: &str = "55000";
 /// SQLSTATE by which a member refuses a connection over its limit.
 pub const TOO_MANY_CONNECTIONS: &str = "53300";
 
