--- a/crates/net/src/member.rs
+++ b/crates/net/src/member.rs
@@ -95,7 +95,7 @@
     process: i32,
     secret: Option<SecretKey>,
     position: Option<MemberPosition>,
-    state: TransactionState,
+    transaction_state: TransactionState,
     last_active_at: Instant,
     /// Identifiers of the statements prepared on this connection.
     pub prepared_statements: HashSet<u64>,
@@ -120,7 +120,7 @@
             process: 0,
             secret: None,
             position: None,
-            state: TransactionState::Idle,
+            transaction_state: TransactionState::Idle,
             last_active_at: Instant::now(),
             prepared_statements: HashSet::new(),
             parameter_fingerprint: 0,
@@ -199,7 +199,8 @@
             backend::PARAMETER_STATUS => self.note_parameter(frame.body()),
             backend::READY_FOR_QUERY => {
                 let state = backend::read_transaction_state(frame.body());
-                self.state = state.context(ProtocolSnafu { detail: "transaction state" })?;
+                self.transaction_state =
+                    state.context(ProtocolSnafu { detail: "transaction state" })?;
                 self.last_active_at = Instant::now();
             }
             _ => {}
@@ -234,8 +235,8 @@
     }
 
     /// Returns the transaction state that the member reported last.
-    pub fn state(&self) -> TransactionState {
-        self.state
+    pub fn transaction_state(&self) -> TransactionState {
+        self.transaction_state
     }
 
     /// Returns when the connection last completed an exchange.
--- a/crates/proxy/src/session/admit.rs
+++ b/crates/proxy/src/session/admit.rs
@@ -77,7 +77,7 @@
     ) -> Result<RequestTerms, RequestRefusal> {
         let class = &request.class;
         if class.kind == StatementKind::Unsupported {
-            let detail = format!("{} is not offered by the proxy", class.feature);
+            let detail = format!("{} is not offered by the proxy", class.unsupported_feature);
             return Err(RequestRefusal::new(RefusalReason::Unsupported, detail));
         }
         if self.pinned.is_none() {
--- a/crates/proxy/src/session/batch.rs
+++ b/crates/proxy/src/session/batch.rs
@@ -22,11 +22,11 @@
 impl PreparedText {
     fn new(fields: &ParseFields<'_>, statements: &StatementCache) -> Self {
         let mut hasher = DefaultHasher::new();
-        (fields.query, fields.types).hash(&mut hasher);
+        (fields.query, fields.parameter_types).hash(&mut hasher);
         Self {
             id: hasher.finish(),
             query: fields.query.to_owned(),
-            types: fields.types.to_vec(),
+            types: fields.parameter_types.to_vec(),
             class: statements.classify(fields.query),
         }
     }
@@ -207,7 +207,7 @@
             _ => {
                 let classes: Vec<&StatementClass> =
                     distinct.iter().map(|class| &***class).collect();
-                Arc::new(StatementClass::merged(&classes))
+                Arc::new(StatementClass::merge(&classes))
             }
         }
     }
@@ -289,7 +289,7 @@
 
     fn parse(&mut self, named: bool, text: &PreparedText, hidden: bool) {
         let name = remote(named, text);
-        let fields = ParseFields { name: &name, query: &text.query, types: &text.types };
+        let fields = ParseFields { name: &name, query: &text.query, parameter_types: &text.types };
         frontend::put_parse(self.output, &fields);
         if named {
             self.parsed.insert(text.id);
--- a/crates/proxy/src/session/exchange.rs
+++ b/crates/proxy/src/session/exchange.rs
@@ -273,11 +273,14 @@
         let Some(header) = self.connection.peek_header()? else {
             return Ok(());
         };
-        if header.tag != backend::DATA_ROW || header.total < WHOLE_ROW_BYTES || self.plan.confirm {
+        if header.tag != backend::DATA_ROW
+            || header.total_bytes < WHOLE_ROW_BYTES
+            || self.plan.confirm
+        {
             return Ok(());
         }
         self.check_floor()?;
-        let mut missing = header.total;
+        let mut missing = header.total_bytes;
         while missing > 0 {
             let input = self.connection.input();
             let piece = input.split_to(missing.min(input.len()));
--- a/crates/proxy/src/session/request.rs
+++ b/crates/proxy/src/session/request.rs
@@ -32,7 +32,7 @@
     pub(super) fn cost(&self) -> f64 {
         match (&self.body, self.class.kind) {
             (_, StatementKind::Commit | StatementKind::Rollback) => 0.0,
-            (RequestBody::Simple(_), _) => self.class.count as f64,
+            (RequestBody::Simple(_), _) => self.class.statement_count as f64,
             (RequestBody::Batch(batch), _) => batch.executions() as f64,
         }
     }
--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -329,7 +329,7 @@
     ) -> AttemptEnd {
         let repeatable = matches!(
             request.class.kind,
-            StatementKind::Read | StatementKind::Begin | StatementKind::BeginRead
+            StatementKind::Read | StatementKind::Begin | StatementKind::BeginReadOnly
         );
         if repeatable {
             self.output.clear();
@@ -461,7 +461,7 @@
         request: &CallerRequest,
     ) {
         let unfinished = !request.synced;
-        self.block = connection.connection_mut().state();
+        self.block = connection.connection_mut().transaction_state();
         if self.block == TransactionState::Idle && !unfinished {
             connection.release();
             return;
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -219,7 +219,7 @@
     socket.write(&output).await?;
     loop {
         if let Some(header) = socket.peek_header()?
-            && (header.tag != frontend::PASSWORD || header.total > STARTUP_LIMIT)
+            && (header.tag != frontend::PASSWORD || header.total_bytes > STARTUP_LIMIT)
         {
             let detail = "expected a password message";
             return Err(refuse(RefusalReason::ProtocolViolation, detail));
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -2,8 +2,8 @@
 
 pub use log;
 
-pub mod bounded;
 pub mod event;
 pub mod logging;
 pub mod meter;
 pub mod program;
+pub mod stdout;
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -11,7 +11,7 @@
 use log4rs::encode::pattern::PatternEncoder;
 use snafu::Snafu;
 
-use crate::bounded::BoundedAppender;
+use crate::stdout::StdoutAppender;
 
 /// Line layout of the plain format.
 const PLAIN_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {t} {m}{n}";
@@ -78,7 +78,7 @@
         LogTarget::Stderr => {
             Box::new(ConsoleAppender::builder().target(Target::Stderr).encoder(encoder).build())
         }
-        LogTarget::Stdout => Box::new(BoundedAppender::new(encoder)),
+        LogTarget::Stdout => Box::new(StdoutAppender::new(encoder)),
     };
     let root = Root::builder().appender("console").build(settings.log_level);
     let config = Config::builder()
--- a/crates/telemetry/src/bounded.rs
+++ b/crates/telemetry/src/stdout.rs
@@ -22,14 +22,14 @@
 
 /// Budget of lines.
 #[derive(Debug)]
-pub struct LineBudget {
+pub struct LineLimiter {
     lines: f64,
     filled_at: Instant,
     left_out: u64,
     reported_at: Instant,
 }
 
-impl LineBudget {
+impl LineLimiter {
     /// Creates a full budget.
     pub fn new(now: Instant) -> Self {
         Self { lines: LINES_AT_ONCE, filled_at: now, left_out: 0, reported_at: now }
@@ -64,12 +64,12 @@
 }
 
 /// Appender to standard output.
-pub struct BoundedAppender {
+pub struct StdoutAppender {
     encoder: Box<dyn Encode>,
-    budget: Mutex<LineBudget>,
+    budget: Mutex<LineLimiter>,
 }
 
-impl BoundedAppender {
+impl StdoutAppender {
     /// Creates an appender and makes standard output refuse what its reader does not take.
     pub fn new(encoder: Box<dyn Encode>) -> Self {
         let output = rustix::stdio::stdout();
@@ -79,7 +79,7 @@
             // Lines are still bounded; only a reader that stalls can hold the process up.
             eprintln!("standard output stays blocking: {error}");
         }
-        Self { encoder, budget: Mutex::new(LineBudget::new(Instant::now())) }
+        Self { encoder, budget: Mutex::new(LineLimiter::new(Instant::now())) }
     }
 
     fn write(&self, record: &Record<'_>) -> anyhow::Result<bool> {
@@ -93,13 +93,13 @@
     }
 }
 
-impl fmt::Debug for BoundedAppender {
+impl fmt::Debug for StdoutAppender {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.debug_struct("BoundedAppender").finish_non_exhaustive()
     }
 }
 
-impl Append for BoundedAppender {
+impl Append for StdoutAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         let now = Instant::now();
         let (taken, left_out) = {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -31,7 +31,7 @@
     /// Tag byte that names the message type.
     pub tag: u8,
     /// Length of the whole frame in bytes.
-    pub total: usize,
+    pub total_bytes: usize,
 }
 
 /// Message whose body has not been decoded.
@@ -59,7 +59,7 @@
     let length = field.get_u32() as usize;
     ensure!(length >= 4, LengthTooSmallSnafu { length });
     ensure!(length <= limit, TooLargeSnafu { length, limit });
-    Ok(Some(FrameHeader { tag: header[0], total: length + 1 }))
+    Ok(Some(FrameHeader { tag: header[0], total_bytes: length + 1 }))
 }
 
 /// Splits one complete frame off the front of `buffer`, or returns none until it is complete.
@@ -67,8 +67,8 @@
     let Some(header) = peek_header(buffer, limit)? else {
         return Ok(None);
     };
-    if buffer.len() < header.total {
+    if buffer.len() < header.total_bytes {
         return Ok(None);
     }
-    Ok(Some(RawFrame { tag: header.tag, bytes: buffer.split_to(header.total) }))
+    Ok(Some(RawFrame { tag: header.tag, bytes: buffer.split_to(header.total_bytes) }))
 }
--- a/crates/wire/src/frontend.rs
+++ b/crates/wire/src/frontend.rs
@@ -44,7 +44,7 @@
     /// Statement text.
     pub query: &'a str,
     /// Parameter types as they stand in the message.
-    pub types: &'a [u8],
+    pub parameter_types: &'a [u8],
 }
 
 /// Bind message.
@@ -87,7 +87,7 @@
     let mut reader = FieldReader::new(frame);
     let name = reader.text("name")?;
     let query = reader.text("query")?;
-    Ok(ParseFields { name, query, types: reader.rest })
+    Ok(ParseFields { name, query, parameter_types: reader.rest })
 }
 
 /// Reads a bind message.
@@ -124,7 +124,7 @@
     put_frame(buffer, PARSE, |body| {
         put_text(body, fields.name);
         put_text(body, fields.query);
-        body.put_slice(fields.types);
+        body.put_slice(fields.parameter_types);
     });
 }
 
--- a/crates/wire/src/statement.rs
+++ b/crates/wire/src/statement.rs
@@ -79,7 +79,7 @@
     /// Begins a transaction.
     Begin,
     /// Begins a transaction that only reads.
-    BeginRead,
+    BeginReadOnly,
     /// Commits the transaction.
     Commit,
     /// Rolls the transaction back.
@@ -119,13 +119,13 @@
     /// What running the text does.
     pub kind: StatementKind,
     /// Number of statements in the text.
-    pub count: usize,
+    pub statement_count: usize,
     /// Tables that the text names, in lower case.
     pub tables: Vec<String>,
     /// Parameter statement, if the kind is `Session`.
     pub session: Option<SessionStatement>,
     /// Feature that is refused, if the kind is `Unsupported`.
-    pub feature: &'static str,
+    pub unsupported_feature: &'static str,
 }
 
 impl StatementClass {
@@ -141,11 +141,17 @@
     }
 
     fn plain(kind: StatementKind, count: usize) -> Self {
-        Self { kind, count, tables: Vec::new(), session: None, feature: "" }
+        Self {
+            kind,
+            statement_count: count,
+            tables: Vec::new(),
+            session: None,
+            unsupported_feature: "",
+        }
     }
 
     fn unsupported(feature: &'static str) -> Self {
-        Self { feature, ..Self::plain(StatementKind::Unsupported, 1) }
+        Self { unsupported_feature: feature, ..Self::plain(StatementKind::Unsupported, 1) }
     }
 
     fn of_unparsed(text: &str) -> Self {
@@ -170,11 +176,11 @@
         if classes.iter().any(|class| class.kind == StatementKind::Session) {
             return Self::unsupported("SET and SHOW together with other statements");
         }
-        Self::merged(&classes.iter().collect::<Vec<_>>())
+        Self::merge(&classes.iter().collect::<Vec<_>>())
     }
 
     /// Returns the class of statements that run one after the other.
-    pub fn merged(classes: &[&Self]) -> Self {
+    pub fn merge(classes: &[&Self]) -> Self {
         let refused = classes.iter().find(|class| class.kind == StatementKind::Unsupported);
         if let Some(refused) = refused {
             return (*refused).clone();
@@ -200,7 +206,8 @@
             Statement::StartTransaction { modes, .. } => {
                 let read = TransactionMode::AccessMode(TransactionAccessMode::ReadOnly);
                 let only_reads = modes.contains(&read);
-                let kind = if only_reads { StatementKind::BeginRead } else { StatementKind::Begin };
+                let kind =
+                    if only_reads { StatementKind::BeginReadOnly } else { StatementKind::Begin };
                 Self::plain(kind, 1)
             }
             Statement::Commit { .. } => Self::plain(StatementKind::Commit, 1),
--- a/crates/wire/tests/messages.rs
+++ b/crates/wire/tests/messages.rs
@@ -41,7 +41,7 @@
         explained_read: ("EXPLAIN SELECT * FROM seats", StatementKind::Read, &["seats"]);
         explained_and_run: ("EXPLAIN ANALYZE DELETE FROM seats", StatementKind::Write, &["seats"]);
         begin: ("BEGIN", StatementKind::Begin, &[]);
-        begin_read_only: ("START TRANSACTION READ ONLY", StatementKind::BeginRead, &[]);
+        begin_read_only: ("START TRANSACTION READ ONLY", StatementKind::BeginReadOnly, &[]);
         commit: ("COMMIT;", StatementKind::Commit, &[]);
         end: ("END", StatementKind::Commit, &[]);
         rollback: ("ROLLBACK", StatementKind::Rollback, &[]);
@@ -130,7 +130,7 @@
 
     fn any_text_is_classified_without_a_panic(text: String) -> bool {
         let class = StatementClass::of(&text);
-        class.kind != StatementKind::Read || class.count > 0
+        class.kind != StatementKind::Read || class.statement_count > 0
     }
 
     fn a_bind_keeps_its_values(values: Vec<u8>) -> bool {
