--- a/crates/net/src/member.rs
+++ b/crates/net/src/member.rs
@@ -20,9 +20,9 @@
 use crate::socket::{FramedSocket, SocketError};
 
 /// Largest frame accepted from a member, in bytes.
-const MEMBER_FRAME_LIMIT: usize = 1 << 30;
+const MAX_FRAME_BYTES: usize = 1 << 30;
 /// Prefix of the application name by which a member learns the caller's availability zone.
-const APPLICATION_PREFIX: &str = "hibiscus/";
+const APPLICATION_NAME_PREFIX: &str = "hibiscus/";
 
 /// Errors of a connection to a member.
 #[derive(Debug, Snafu)]
@@ -92,8 +92,8 @@
 pub struct MemberConnection {
     socket: FramedSocket,
     address: SocketAddr,
-    process: i32,
-    secret: Option<SecretKey>,
+    process_id: i32,
+    secret_key: Option<SecretKey>,
     position: Option<MemberPosition>,
     transaction_state: TransactionState,
     last_active_at: Instant,
@@ -107,34 +107,34 @@
     /// Opens a connection and waits until the member is ready.
     pub async fn open(target: &MemberTarget) -> Result<Self, MemberError> {
         let limit = target.connect_timeout;
-        let open = timeout(limit, Self::open_untimed(target)).await;
+        let open = timeout(limit, Self::open_without_timeout(target)).await;
         open.ok().context(TimeoutSnafu { limit })?
     }
 
-    async fn open_untimed(target: &MemberTarget) -> Result<Self, MemberError> {
+    async fn open_without_timeout(target: &MemberTarget) -> Result<Self, MemberError> {
         let address = target.address;
         let stream = TcpStream::connect(address).await.context(ConnectSnafu { address })?;
         let mut connection = Self {
-            socket: FramedSocket::new(stream, MEMBER_FRAME_LIMIT),
+            socket: FramedSocket::new(stream, MAX_FRAME_BYTES),
             address,
-            process: 0,
-            secret: None,
+            process_id: 0,
+            secret_key: None,
             position: None,
             transaction_state: TransactionState::Idle,
             last_active_at: Instant::now(),
             prepared_statements: HashSet::new(),
             parameter_fingerprint: 0,
         };
-        connection.start(target).await?;
+        connection.complete_startup(target).await?;
         Ok(connection)
     }
 
-    async fn start(&mut self, target: &MemberTarget) -> Result<(), MemberError> {
+    async fn complete_startup(&mut self, target: &MemberTarget) -> Result<(), MemberError> {
         let mut startup = Startup::new();
         for (name, value) in [
             ("user", target.user.clone()),
             ("database", target.database.clone()),
-            ("application_name", format!("{APPLICATION_PREFIX}{}", target.zone)),
+            ("application_name", format!("{APPLICATION_NAME_PREFIX}{}", target.zone)),
         ] {
             startup.parameters.insert(name.to_owned(), value);
         }
@@ -146,7 +146,7 @@
             let frame = self.next_frame().await?;
             match frame.tag {
                 backend::READY_FOR_QUERY => return Ok(()),
-                backend::ERROR_RESPONSE => return Err(refusal(frame.body())),
+                backend::ERROR_RESPONSE => return Err(error_response(frame.body())),
                 backend::PARAMETER_STATUS | backend::NOTICE_RESPONSE => continue,
                 _ => {}
             }
@@ -160,8 +160,8 @@
                     return ProtocolSnafu { detail: "no password or a cleartext one" }.fail();
                 }
                 PgWireBackendMessage::BackendKeyData(key) => {
-                    self.process = key.pid;
-                    self.secret = Some(key.secret_key);
+                    self.process_id = key.pid;
+                    self.secret_key = Some(key.secret_key);
                 }
                 _ => {}
             }
@@ -196,7 +196,7 @@
             return Ok(None);
         };
         match frame.tag {
-            backend::PARAMETER_STATUS => self.note_parameter(frame.body()),
+            backend::PARAMETER_STATUS => self.record_parameter(frame.body()),
             backend::READY_FOR_QUERY => {
                 let state = backend::read_transaction_state(frame.body());
                 self.transaction_state =
@@ -223,7 +223,7 @@
         Ok(self.socket.fill().await?)
     }
 
-    fn note_parameter(&mut self, body: &[u8]) {
+    fn record_parameter(&mut self, body: &[u8]) {
         if let Some((POSITION_PARAMETER, value)) = backend::read_parameter_status(body) {
             self.position = value.parse().ok().or(self.position);
         }
@@ -273,7 +273,7 @@
                     let column = backend::read_data_row(frame.body()).into_iter().next().flatten();
                     answer = column.context(ProtocolSnafu { detail: "a text column" });
                 }
-                backend::ERROR_RESPONSE => answer = Err(refusal(frame.body())),
+                backend::ERROR_RESPONSE => answer = Err(error_response(frame.body())),
                 backend::READY_FOR_QUERY => return answer,
                 _ => {}
             }
@@ -282,8 +282,8 @@
 
     /// Returns what a cancel request for the running statement needs.
     pub fn cancel_handle(&self) -> Option<CancelHandle> {
-        let secret = self.secret.clone()?;
-        Some(CancelHandle { address: self.address, process: self.process, secret })
+        let secret_key = self.secret_key.clone()?;
+        Some(CancelHandle { address: self.address, process_id: self.process_id, secret_key })
     }
 }
 
@@ -291,8 +291,8 @@
 #[derive(Clone, Debug)]
 pub struct CancelHandle {
     address: SocketAddr,
-    process: i32,
-    secret: SecretKey,
+    process_id: i32,
+    secret_key: SecretKey,
 }
 
 impl CancelHandle {
@@ -300,7 +300,7 @@
     pub async fn send(&self) -> std::io::Result<()> {
         use pgwire::messages::cancel::CancelRequest;
         let mut output = BytesMut::new();
-        let request = CancelRequest::new(self.process, self.secret.clone());
+        let request = CancelRequest::new(self.process_id, self.secret_key.clone());
         request.encode(&mut output).map_err(std::io::Error::other)?;
         let mut stream = TcpStream::connect(self.address).await?;
         stream.write_all(&output).await?;
@@ -308,7 +308,7 @@
     }
 }
 
-fn refusal(body: &[u8]) -> MemberError {
+fn error_response(body: &[u8]) -> MemberError {
     let field = |code| backend::read_error_field(body, code).unwrap_or_default().to_owned();
     MemberError::ErrorResponse { sqlstate: field(b'C'), message: field(b'M') }
 }
--- a/crates/net/src/platform.rs
+++ b/crates/net/src/platform.rs
@@ -61,33 +61,33 @@
 /// Client of the platform's services over HTTP.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
-    base: String,
+    base_url: String,
     client: Client,
 }
 
 impl PlatformClient {
     /// Creates a client for the services at `base`, such as `http://127.0.0.1:7000`.
-    pub fn new(base: impl Into<String>, timeout: Duration) -> Result<Self, PlatformError> {
+    pub fn new(base_url: impl Into<String>, timeout: Duration) -> Result<Self, PlatformError> {
         let client = Client::builder().timeout(timeout).build().context(OutcomeUnknownSnafu)?;
-        Ok(Self { base: base.into(), client })
+        Ok(Self { base_url: base_url.into(), client })
     }
 
     fn url(&self, path: &str) -> String {
-        format!("{}{path}", self.base)
+        format!("{}{path}", self.base_url)
     }
 }
 
-fn count(kind: &'static str, answered: bool) {
+fn record_operation(kind: &'static str, answered: bool) {
     let outcome = if answered { "answered" } else { "failed" };
     counter!(meter::PLATFORM_OPERATIONS, "kind" => kind, "outcome" => outcome).increment(1);
 }
 
-fn checked(
+fn check_response(
     kind: &'static str,
-    answer: Result<Response, reqwest::Error>,
+    result: Result<Response, reqwest::Error>,
 ) -> Result<Response, PlatformError> {
-    count(kind, answer.is_ok());
-    let response = answer.map_err(|source| {
+    record_operation(kind, result.is_ok());
+    let response = result.map_err(|source| {
         if source.is_connect() {
             PlatformError::Unavailable
         } else {
@@ -105,7 +105,7 @@
     fn transact(&self, transaction: TableTransaction) -> PlatformFuture<'_, TransactionReply> {
         Box::pin(async move {
             let request = self.client.post(self.url("/table/transact")).json(&transaction);
-            let response = checked("transact", request.send().await)?;
+            let response = check_response("transact", request.send().await)?;
             response.json().await.context(OutcomeUnknownSnafu)
         })
     }
@@ -113,7 +113,7 @@
     fn row(&self, key: String) -> PlatformFuture<'_, Option<TableRow>> {
         Box::pin(async move {
             let request = self.client.get(self.url("/table/row")).query(&[("key", key)]);
-            let response = checked("row", request.send().await)?;
+            let response = check_response("row", request.send().await)?;
             response.json().await.context(OutcomeUnknownSnafu)
         })
     }
@@ -121,7 +121,7 @@
     fn scan(&self, prefix: String) -> PlatformFuture<'_, Vec<TableRow>> {
         Box::pin(async move {
             let request = self.client.get(self.url("/table/scan")).query(&[("key", prefix)]);
-            let response = checked("scan", request.send().await)?;
+            let response = check_response("scan", request.send().await)?;
             response.json().await.context(OutcomeUnknownSnafu)
         })
     }
@@ -131,14 +131,14 @@
     fn put(&self, name: String, bytes: Vec<u8>) -> PlatformFuture<'_, ()> {
         Box::pin(async move {
             let request = self.client.put(self.url("/object")).query(&[("key", name)]).body(bytes);
-            checked("put", request.send().await).map(|_| ())
+            check_response("put", request.send().await).map(|_| ())
         })
     }
 
     fn get(&self, name: String) -> PlatformFuture<'_, Option<Vec<u8>>> {
         Box::pin(async move {
             let request = self.client.get(self.url("/object")).query(&[("key", name)]);
-            let response = match checked("get", request.send().await) {
+            let response = match check_response("get", request.send().await) {
                 Err(PlatformError::Status { status: StatusCode::NOT_FOUND }) => return Ok(None),
                 other => other?,
             };
@@ -152,7 +152,7 @@
     fn instances(&self) -> PlatformFuture<'_, Vec<InstanceRecord>> {
         Box::pin(async move {
             let request = self.client.get(self.url("/instances"));
-            let response = checked("instances", request.send().await)?;
+            let response = check_response("instances", request.send().await)?;
             response.json().await.context(OutcomeUnknownSnafu)
         })
     }
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -14,11 +14,11 @@
 use crate::member::{MemberConnection, MemberError, MemberTarget};
 
 /// Idle time after which a connection is proven before it carries a request.
-const PROVE_AFTER: Duration = Duration::from_secs(1);
+const LIVENESS_CHECK_THRESHOLD: Duration = Duration::from_secs(1);
 /// Time that such a proof may take.
-const PROVE_TIMEOUT: Duration = Duration::from_millis(250);
+const LIVENESS_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle time after which a connection is closed.
-const IDLE_LIMIT: Duration = Duration::from_secs(120);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(120);
 
 /// Errors of taking a connection.
 #[derive(Debug, Snafu)]
@@ -45,13 +45,13 @@
 struct PoolPermit {
     pool: Arc<PoolShared>,
     team: TeamKey,
-    since: Instant,
+    acquired_at: Instant,
 }
 
 impl Drop for PoolPermit {
     fn drop(&mut self) {
-        let held = self.since.elapsed();
-        self.pool.state.lock().queue.release(self.team, held);
+        let held_for = self.acquired_at.elapsed();
+        self.pool.state.lock().queue.release(self.team, held_for);
         self.pool.dispatch();
     }
 }
@@ -61,7 +61,7 @@
     queue: FairQueue<TeamKey, oneshot::Sender<PoolPermit>>,
     idle: Vec<MemberConnection>,
     /// Raised when every idle connection became useless.
-    epoch: u64,
+    generation: u64,
 }
 
 #[derive(Debug)]
@@ -81,7 +81,7 @@
             let Some((team, sender)) = next else {
                 return;
             };
-            let permit = PoolPermit { pool: self.clone(), team, since: Instant::now() };
+            let permit = PoolPermit { pool: self.clone(), team, acquired_at: Instant::now() };
             // A request that gave up returns the permit by dropping it.
             drop(sender.send(permit));
         }
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 pub struct PooledConnection {
     connection: MemberConnection,
-    epoch: u64,
+    generation: u64,
     permit: PoolPermit,
 }
 
@@ -110,9 +110,9 @@
 
     /// Returns the connection to the pool; its last exchange must be complete.
     pub fn release(self) {
-        let Self { connection, epoch, permit } = self;
+        let Self { connection, generation, permit } = self;
         let mut state = permit.pool.state.lock();
-        if state.epoch == epoch && state.idle.len() < state.queue.capacity() {
+        if state.generation == generation && state.idle.len() < state.queue.capacity() {
             state.idle.push(connection);
         }
         drop(state);
@@ -123,7 +123,7 @@
 impl MemberPool {
     /// Creates a pool that opens at most `capacity` connections.
     pub fn new(target: MemberTarget, capacity: usize) -> Self {
-        let state = PoolState { queue: FairQueue::new(capacity), idle: Vec::new(), epoch: 0 };
+        let state = PoolState { queue: FairQueue::new(capacity), idle: Vec::new(), generation: 0 };
         Self { shared: Arc::new(PoolShared { target, state: Mutex::new(state) }) }
     }
 
@@ -131,8 +131,8 @@
     pub fn resize(&self, capacity: usize) {
         let mut state = self.shared.state.lock();
         state.queue.resize(capacity);
-        let spare = capacity.saturating_sub(state.queue.in_use());
-        let surplus = state.idle.len().saturating_sub(spare);
+        let free_capacity = capacity.saturating_sub(state.queue.in_use());
+        let surplus = state.idle.len().saturating_sub(free_capacity);
         state.idle.drain(..surplus);
         drop(state);
         self.shared.dispatch();
@@ -147,14 +147,14 @@
     /// Closes every idle connection, and those in use once they are returned.
     pub fn invalidate_all(&self) {
         let mut state = self.shared.state.lock();
-        state.epoch += 1;
+        state.generation += 1;
         state.idle.clear();
     }
 
     /// Closes connections that have been idle for long.
     pub fn evict_idle(&self, now: Instant) {
         let mut state = self.shared.state.lock();
-        state.idle.retain(|idle| now.duration_since(idle.last_active_at()) < IDLE_LIMIT);
+        state.idle.retain(|idle| now.duration_since(idle.last_active_at()) < MAX_IDLE_TIME);
     }
 
     /// Takes a connection, waiting for the team's turn until `deadline`.
@@ -163,34 +163,38 @@
         team: TeamKey,
         deadline: Instant,
     ) -> Result<PooledConnection, PoolError> {
-        let permit = self.take_permit(team, deadline).await?;
-        while let Some((connection, epoch)) = self.pop_idle() {
-            if let Some(connection) = prove(connection).await {
-                return Ok(PooledConnection { connection, epoch, permit });
+        let permit = self.acquire_permit(team, deadline).await?;
+        while let Some((connection, generation)) = self.pop_idle() {
+            if let Some(connection) = check_liveness(connection).await {
+                return Ok(PooledConnection { connection, generation, permit });
             }
         }
-        let epoch = self.shared.state.lock().epoch;
+        let generation = self.shared.state.lock().generation;
         let open = MemberConnection::open(&self.shared.target);
         let opened = timeout_at(deadline.into(), open).await;
         match opened {
-            Ok(Ok(connection)) => Ok(PooledConnection { connection, epoch, permit }),
+            Ok(Ok(connection)) => Ok(PooledConnection { connection, generation, permit }),
             Ok(Err(MemberError::ErrorResponse { sqlstate, .. }))
                 if sqlstate == TOO_MANY_CONNECTIONS =>
             {
-                DeadlineExceededSnafu { retry_after: PROVE_TIMEOUT }.fail()
+                DeadlineExceededSnafu { retry_after: LIVENESS_CHECK_TIMEOUT }.fail()
             }
             Ok(Err(source)) => Err(PoolError::Connect { source }),
-            Err(_) => DeadlineExceededSnafu { retry_after: PROVE_TIMEOUT }.fail(),
+            Err(_) => DeadlineExceededSnafu { retry_after: LIVENESS_CHECK_TIMEOUT }.fail(),
         }
     }
 
-    async fn take_permit(&self, team: TeamKey, deadline: Instant) -> Result<PoolPermit, PoolError> {
+    async fn acquire_permit(
+        &self,
+        team: TeamKey,
+        deadline: Instant,
+    ) -> Result<PoolPermit, PoolError> {
         let now = Instant::now();
         let receiver = {
             let mut state = self.shared.state.lock();
             if state.queue.try_take(team, now) {
                 drop(state);
-                return Ok(PoolPermit { pool: self.shared.clone(), team, since: now });
+                return Ok(PoolPermit { pool: self.shared.clone(), team, acquired_at: now });
             }
             let (sender, receiver) = oneshot::channel();
             match state.queue.push(team, sender, deadline, now) {
@@ -214,15 +218,15 @@
     fn pop_idle(&self) -> Option<(MemberConnection, u64)> {
         let mut state = self.shared.state.lock();
         let connection = state.idle.pop()?;
-        Some((connection, state.epoch))
+        Some((connection, state.generation))
     }
 }
 
 /// Returns the connection if it was used a moment ago or answers now.
-async fn prove(mut connection: MemberConnection) -> Option<MemberConnection> {
-    if connection.last_active_at().elapsed() < PROVE_AFTER {
+async fn check_liveness(mut connection: MemberConnection) -> Option<MemberConnection> {
+    if connection.last_active_at().elapsed() < LIVENESS_CHECK_THRESHOLD {
         return Some(connection);
     }
-    connection.status(PROVE_TIMEOUT).await.ok()?;
+    connection.status(LIVENESS_CHECK_TIMEOUT).await.ok()?;
     Some(connection)
 }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -10,7 +10,7 @@
 use wire::frame::{self, FrameError, FrameHeader, RawFrame};
 
 /// Bytes that one read takes at most.
-const READ_BYTES: usize = 16 * 1024;
+const MAX_READ_BYTES: usize = 16 * 1024;
 
 /// Errors of a framed socket.
 #[derive(Debug, Snafu)]
@@ -37,14 +37,14 @@
 pub struct FramedSocket {
     stream: TcpStream,
     input: BytesMut,
-    limit: usize,
+    max_frame_bytes: usize,
 }
 
 impl FramedSocket {
     /// Wraps a stream; frames above `limit` bytes are refused.
-    pub fn new(stream: TcpStream, limit: usize) -> Self {
+    pub fn new(stream: TcpStream, max_frame_bytes: usize) -> Self {
         let _ = stream.set_nodelay(true);
-        Self { stream, input: BytesMut::new(), limit }
+        Self { stream, input: BytesMut::new(), max_frame_bytes }
     }
 
     /// Returns the bytes read and not yet taken.
@@ -54,12 +54,12 @@
 
     /// Splits off a frame that has been read whole.
     pub fn take_frame(&mut self) -> Result<Option<RawFrame>, SocketError> {
-        Ok(frame::split_frame(&mut self.input, self.limit)?)
+        Ok(frame::split_frame(&mut self.input, self.max_frame_bytes)?)
     }
 
     /// Returns the header of the next frame, whole or not.
     pub fn peek_header(&self) -> Result<Option<FrameHeader>, SocketError> {
-        Ok(frame::peek_header(&self.input, self.limit)?)
+        Ok(frame::peek_header(&self.input, self.max_frame_bytes)?)
     }
 
     /// Reads at least one byte.
@@ -70,7 +70,7 @@
         }
         loop {
             self.stream.readable().await.context(IoSnafu)?;
-            match self.read_piece() {
+            match self.read_available() {
                 Ok(0) => return ClosedSnafu.fail(),
                 Ok(_) => return Ok(()),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -83,20 +83,20 @@
     ///
     /// A short read empties the socket, so it is reported to the runtime as one that would block:
     /// otherwise the next wait begins with a read that finds nothing.
-    fn read_piece(&mut self) -> io::Result<usize> {
-        let mut piece = [0; READ_BYTES];
-        let mut short = 0;
+    fn read_available(&mut self) -> io::Result<usize> {
+        let mut buffer = [0; MAX_READ_BYTES];
+        let mut short_read = 0;
         let socket = SockRef::from(&self.stream);
         let result = self.stream.try_io(Interest::READABLE, || {
-            let read = (&*socket).read(&mut piece)?;
-            if read == 0 || read == READ_BYTES {
+            let read = (&*socket).read(&mut buffer)?;
+            if read == 0 || read == MAX_READ_BYTES {
                 return Ok(read);
             }
-            short = read;
+            short_read = read;
             Err(io::ErrorKind::WouldBlock.into())
         });
-        let read = if short > 0 { short } else { result? };
-        self.input.extend_from_slice(&piece[..read]);
+        let read = if short_read > 0 { short_read } else { result? };
+        self.input.extend_from_slice(&buffer[..read]);
         Ok(read)
     }
 
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -115,7 +115,7 @@
     /// answer was lost repeats it safely.
     pub async fn replace(
         &self,
-        expected: u64,
+        expected_revision: u64,
         text: &str,
         request: &str,
         operator: &str,
@@ -124,22 +124,23 @@
             return Ok(ReplaceOutcome::Accepted(head));
         }
         let current = self.head_row().await?;
-        let (revision, row) = current.as_ref().map_or((0, 0), |(head, row)| (head.revision, *row));
-        if let Some((head, _)) = current.filter(|_| revision != expected) {
+        let (revision, row_revision) =
+            current.as_ref().map_or((0, 0), |(head, row)| (head.revision, *row));
+        if let Some((head, _)) = current.filter(|_| revision != expected_revision) {
             return Ok(ReplaceOutcome::Conflict(head));
         }
         let digest = digest_text(text.as_bytes());
         self.platform.put(object_name(&digest), text.as_bytes().to_vec()).await?;
         let head = DocumentHead {
-            revision: expected + 1,
+            revision: expected_revision + 1,
             digest,
             request: request.to_owned(),
             operator: operator.to_owned(),
         };
-        let transaction = self.replacement(&head, row)?;
+        let transaction = self.replace_transaction(&head, row_revision)?;
         match self.platform.transact(transaction).await {
             Ok(TransactionReply::Applied { .. }) => Ok(ReplaceOutcome::Accepted(head)),
-            Ok(TransactionReply::Conflict { .. }) => self.lost_race(request).await,
+            Ok(TransactionReply::Conflict { .. }) => self.resolve_conflict(request).await,
             // The write may have taken effect; its request row tells.
             Err(error) => match self.request_head(request).await? {
                 Some(head) => Ok(ReplaceOutcome::Accepted(head)),
@@ -148,7 +149,7 @@
         }
     }
 
-    async fn lost_race(&self, request: &str) -> Result<ReplaceOutcome, StoreError> {
+    async fn resolve_conflict(&self, request: &str) -> Result<ReplaceOutcome, StoreError> {
         if let Some(head) = self.request_head(request).await? {
             return Ok(ReplaceOutcome::Accepted(head));
         }
@@ -157,18 +158,22 @@
         Ok(ReplaceOutcome::Conflict(head.context(MissingBodySnafu { digest })?))
     }
 
-    fn replacement(&self, head: &DocumentHead, row: u64) -> Result<TableTransaction, StoreError> {
+    fn replace_transaction(
+        &self,
+        head: &DocumentHead,
+        row_revision: u64,
+    ) -> Result<TableTransaction, StoreError> {
         let key = self.head_key();
         let value = serde_json::to_string(head).context(MalformedRowSnafu { key: key.clone() })?;
-        let request = self.request_key(&head.request);
+        let request_key = self.request_key(&head.request);
         Ok(TableTransaction {
             checks: vec![
-                RowCheck { key: key.clone(), revision: row },
-                RowCheck { key: request.clone(), revision: 0 },
+                RowCheck { key: key.clone(), revision: row_revision },
+                RowCheck { key: request_key.clone(), revision: 0 },
             ],
             writes: vec![
                 RowWrite { key, value: Some(value.clone()) },
-                RowWrite { key: request, value: Some(value.clone()) },
+                RowWrite { key: request_key, value: Some(value.clone()) },
                 RowWrite { key: self.history_key(&head.digest), value: Some(value) },
             ],
         })
@@ -176,12 +181,12 @@
 
     async fn head_row(&self) -> Result<Option<(DocumentHead, u64)>, StoreError> {
         let row = self.platform.row(self.head_key()).await?;
-        row.map(|row| read_head(&row).map(|head| (head, row.revision))).transpose()
+        row.map(|row| parse_head(&row).map(|head| (head, row.revision))).transpose()
     }
 
     async fn request_head(&self, request: &str) -> Result<Option<DocumentHead>, StoreError> {
         let row = self.platform.row(self.request_key(request)).await?;
-        row.as_ref().map(read_head).transpose()
+        row.as_ref().map(parse_head).transpose()
     }
 
     fn head_key(&self) -> String {
@@ -221,28 +226,32 @@
     /// Reads head and epoch together.
     pub async fn snapshot(&self) -> Result<EnvironmentSnapshot, StoreError> {
         let prefix = current_prefix(self.environment);
-        let mut current = EnvironmentSnapshot::default();
+        let mut snapshot = EnvironmentSnapshot::default();
         for row in self.platform.scan(prefix.clone()).await? {
             match row.key.strip_prefix(&prefix) {
-                Some("head") => current.head = Some(read_head(&row)?),
+                Some("head") => snapshot.head = Some(parse_head(&row)?),
                 Some("epoch") => {
                     let epoch = serde_json::from_str(&row.value);
-                    current.epoch =
+                    snapshot.epoch =
                         Some(epoch.context(MalformedRowSnafu { key: row.key.clone() })?);
-                    current.epoch_row_revision = row.revision;
+                    snapshot.epoch_row_revision = row.revision;
                 }
                 _ => {}
             }
         }
-        Ok(current)
+        Ok(snapshot)
     }
 
     /// Starts an epoch if the row still has revision `row`; false if another instance was first.
-    pub async fn start_epoch(&self, row: u64, epoch: &LedgerEpoch) -> Result<bool, StoreError> {
+    pub async fn start_epoch(
+        &self,
+        row_revision: u64,
+        epoch: &LedgerEpoch,
+    ) -> Result<bool, StoreError> {
         let key = format!("{}epoch", current_prefix(self.environment));
         let value = serde_json::to_string(epoch).context(MalformedRowSnafu { key: key.clone() })?;
         let transaction = TableTransaction {
-            checks: vec![RowCheck { key: key.clone(), revision: row }],
+            checks: vec![RowCheck { key: key.clone(), revision: row_revision }],
             writes: vec![RowWrite { key, value: Some(value) }],
         };
         let reply = self.platform.transact(transaction).await;
@@ -263,9 +272,9 @@
     ) -> Result<(), StoreError> {
         let key = format!("environment/{}/primary/{database}", self.environment);
         let row = self.platform.row(key.clone()).await?;
-        let recorded: Option<PrimaryRecord> =
+        let current: Option<PrimaryRecord> =
             row.as_ref().and_then(|row| serde_json::from_str(&row.value).ok());
-        if recorded.is_some_and(|recorded| recorded.term >= term) {
+        if current.is_some_and(|current| current.term >= term) {
             return Ok(());
         }
         let record =
@@ -301,6 +310,6 @@
     format!("document/{digest}")
 }
 
-fn read_head(row: &TableRow) -> Result<DocumentHead, StoreError> {
+fn parse_head(row: &TableRow) -> Result<DocumentHead, StoreError> {
     serde_json::from_str(&row.value).context(MalformedRowSnafu { key: row.key.clone() })
 }
--- a/crates/telemetry/src/meter.rs
+++ b/crates/telemetry/src/meter.rs
@@ -29,7 +29,8 @@
 pub const PEER_MESSAGES: &str = "hibiscus_peer_messages_total";
 
 /// Upper bounds of the histogram of request times, in seconds.
-const TIME_BOUNDS: &[f64] = &[0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.0, 5.0];
+const REQUEST_SECONDS_BUCKETS: &[f64] =
+    &[0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.0, 5.0];
 
 static RECORDER: OnceLock<PrometheusHandle> = OnceLock::new();
 
@@ -45,7 +46,7 @@
 pub fn install() -> PrometheusHandle {
     let recorder = RECORDER.get_or_init(|| {
         let builder = PrometheusBuilder::new();
-        let recorder = match builder.set_buckets(TIME_BOUNDS) {
+        let recorder = match builder.set_buckets(REQUEST_SECONDS_BUCKETS) {
             Ok(builder) => builder.build_recorder(),
             // Only an empty list of bounds is refused.
             Err(_) => PrometheusBuilder::new().build_recorder(),
--- a/crates/telemetry/src/stdout.rs
+++ b/crates/telemetry/src/stdout.rs
@@ -14,59 +14,60 @@
 use crate::event::LogEvent;
 
 /// Lines a second that are written in the long run.
-const LINES_PER_SECOND: f64 = 60.0;
+const MAX_LINES_PER_SECOND: f64 = 60.0;
 /// Lines that are written at once after a quiet time.
-const LINES_AT_ONCE: f64 = 400.0;
+const MAX_BURST_LINES: f64 = 400.0;
 /// Time between lines that tell how many were left out.
-const REPORT_PERIOD: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Budget of lines.
 #[derive(Debug)]
 pub struct LineLimiter {
-    lines: f64,
-    filled_at: Instant,
-    left_out: u64,
+    available_lines: f64,
+    refilled_at: Instant,
+    dropped: u64,
     reported_at: Instant,
 }
 
 impl LineLimiter {
     /// Creates a full budget.
     pub fn new(now: Instant) -> Self {
-        Self { lines: LINES_AT_ONCE, filled_at: now, left_out: 0, reported_at: now }
+        Self { available_lines: MAX_BURST_LINES, refilled_at: now, dropped: 0, reported_at: now }
     }
 
     /// Takes a line; false if it must be left out.
-    pub fn take(&mut self, now: Instant) -> bool {
-        let earned = now.saturating_duration_since(self.filled_at).as_secs_f64() * LINES_PER_SECOND;
-        self.filled_at = self.filled_at.max(now);
-        self.lines = (self.lines + earned).min(LINES_AT_ONCE);
-        if self.lines < 1.0 {
-            self.left_out += 1;
+    pub fn try_acquire(&mut self, now: Instant) -> bool {
+        let refilled =
+            now.saturating_duration_since(self.refilled_at).as_secs_f64() * MAX_LINES_PER_SECOND;
+        self.refilled_at = self.refilled_at.max(now);
+        self.available_lines = (self.available_lines + refilled).min(MAX_BURST_LINES);
+        if self.available_lines < 1.0 {
+            self.dropped += 1;
             return false;
         }
-        self.lines -= 1.0;
+        self.available_lines -= 1.0;
         true
     }
 
     /// Counts a line that could not be written.
-    pub fn note_left_out(&mut self) {
-        self.left_out += 1;
+    pub fn record_dropped(&mut self) {
+        self.dropped += 1;
     }
 
     /// Returns how many lines were left out since the last report, if it is time to tell.
-    pub fn report(&mut self, now: Instant) -> Option<u64> {
-        if self.left_out == 0 || now.saturating_duration_since(self.reported_at) < REPORT_PERIOD {
+    pub fn take_dropped_count(&mut self, now: Instant) -> Option<u64> {
+        if self.dropped == 0 || now.saturating_duration_since(self.reported_at) < REPORT_INTERVAL {
             return None;
         }
         self.reported_at = now;
-        Some(std::mem::take(&mut self.left_out))
+        Some(std::mem::take(&mut self.dropped))
     }
 }
 
 /// Appender to standard output.
 pub struct StdoutAppender {
     encoder: Box<dyn Encode>,
-    budget: Mutex<LineLimiter>,
+    limiter: Mutex<LineLimiter>,
 }
 
 impl StdoutAppender {
@@ -79,7 +80,7 @@
             // Lines are still bounded; only a reader that stalls can hold the process up.
             eprintln!("standard output stays blocking: {error}");
         }
-        Self { encoder, budget: Mutex::new(LineLimiter::new(Instant::now())) }
+        Self { encoder, limiter: Mutex::new(LineLimiter::new(Instant::now())) }
     }
 
     fn write(&self, record: &Record<'_>) -> anyhow::Result<bool> {
@@ -102,13 +103,13 @@
 impl Append for StdoutAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         let now = Instant::now();
-        let (taken, left_out) = {
-            let Ok(mut budget) = self.budget.lock() else {
+        let (allowed, dropped) = {
+            let Ok(mut limiter) = self.limiter.lock() else {
                 return Ok(());
             };
-            (budget.take(now), budget.report(now))
+            (limiter.try_acquire(now), limiter.take_dropped_count(now))
         };
-        if let Some(count) = left_out {
+        if let Some(count) = dropped {
             let event = LogEvent::LinesDropped;
             let arguments = format_args!("{event} count={count}");
             let report = Record::builder()
@@ -118,11 +119,11 @@
                 .build();
             self.write(&report)?;
         }
-        if taken
+        if allowed
             && !self.write(record)?
-            && let Ok(mut budget) = self.budget.lock()
+            && let Ok(mut limiter) = self.limiter.lock()
         {
-            budget.note_left_out();
+            limiter.record_dropped();
         }
         Ok(())
     }
--- a/crates/telemetry/tests/catalogue.rs
+++ b/crates/telemetry/tests/catalogue.rs
@@ -3,14 +3,14 @@
 use telemetry::event::LogEvent;
 
 #[test]
-fn the_page_lists_every_event() {
+fn events_page_lists_every_event() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/EVENTS.md");
     let page = std::fs::read_to_string(path).expect("the page is there");
     let rows: Vec<&str> = page.lines().filter(|line| line.starts_with("| HB")).collect();
     assert_eq!(rows.len(), LogEvent::ALL.len());
     for event in LogEvent::ALL {
         let level = event.level().to_string().to_lowercase();
-        let start = format!("| HB{} | {level} | {} |", *event as u16, event.label());
-        assert!(rows.iter().any(|row| row.starts_with(&start)), "{start}");
+        let prefix = format!("| HB{} | {level} | {} |", *event as u16, event.label());
+        assert!(rows.iter().any(|row| row.starts_with(&prefix)), "{prefix}");
     }
 }
--- a/crates/wire/src/backend.rs
+++ b/crates/wire/src/backend.rs
@@ -88,19 +88,19 @@
 /// Reads the text columns of a data row.
 pub fn read_data_row(body: &[u8]) -> Vec<Option<String>> {
     let mut columns = Vec::new();
-    let mut rest = body.get(2..).unwrap_or_default();
-    while let Some((length, tail)) = rest.split_first_chunk::<4>() {
+    let mut remaining = body.get(2..).unwrap_or_default();
+    while let Some((length, tail)) = remaining.split_first_chunk::<4>() {
         let length = i32::from_be_bytes(*length);
         if length < 0 {
             columns.push(None);
-            rest = tail;
+            remaining = tail;
             continue;
         }
         let Some((value, tail)) = tail.split_at_checked(length as usize) else {
             break;
         };
         columns.push(Some(String::from_utf8_lossy(value).into_owned()));
-        rest = tail;
+        remaining = tail;
     }
     columns
 }
@@ -140,7 +140,7 @@
 
 /// Writes an error that closes no connection.
 pub fn put_error(buffer: &mut BytesMut, sqlstate: &str, message: &str) {
-    put_fields(buffer, "ERROR", sqlstate, message, None);
+    put_error_fields(buffer, "ERROR", sqlstate, message, None);
 }
 
 /// Writes a refusal; `fatal` tells that the connection closes after it.
@@ -148,10 +148,10 @@
     let severity = if fatal { "FATAL" } else { "ERROR" };
     let hint =
         refusal.retry_after.map(|delay| format!("retry after {} ms", delay.as_millis().max(1)));
-    put_fields(buffer, severity, refusal.reason.sqlstate(), &refusal.to_string(), hint);
+    put_error_fields(buffer, severity, refusal.reason.sqlstate(), &refusal.to_string(), hint);
 }
 
-fn put_fields(
+fn put_error_fields(
     buffer: &mut BytesMut,
     severity: &str,
     sqlstate: &str,
@@ -168,6 +168,6 @@
     let error = ErrorResponse::new(fields);
     // A detail longer than the codec's limit is not worth a lost connection.
     if error.encode(buffer).is_err() {
-        put_fields(buffer, severity, sqlstate, "message too long", None);
+        put_error_fields(buffer, severity, sqlstate, "message too long", None);
     }
 }
--- a/crates/wire/src/frontend.rs
+++ b/crates/wire/src/frontend.rs
@@ -79,51 +79,51 @@
 /// Reads the text of a simple query.
 pub fn read_query(frame: &RawFrame) -> Result<&str, FieldError> {
     let mut reader = FieldReader::new(frame);
-    reader.text("query")
+    reader.read_cstring("query")
 }
 
 /// Reads a parse message.
 pub fn read_parse(frame: &RawFrame) -> Result<ParseFields<'_>, FieldError> {
     let mut reader = FieldReader::new(frame);
-    let name = reader.text("name")?;
-    let query = reader.text("query")?;
-    Ok(ParseFields { name, query, parameter_types: reader.rest })
+    let name = reader.read_cstring("name")?;
+    let query = reader.read_cstring("query")?;
+    Ok(ParseFields { name, query, parameter_types: reader.remaining })
 }
 
 /// Reads a bind message.
 pub fn read_bind(frame: &RawFrame) -> Result<BindFields<'_>, FieldError> {
     let mut reader = FieldReader::new(frame);
-    let portal = reader.text("portal")?;
-    let statement = reader.text("statement")?;
-    Ok(BindFields { portal, statement, values: reader.rest })
+    let portal = reader.read_cstring("portal")?;
+    let statement = reader.read_cstring("statement")?;
+    Ok(BindFields { portal, statement, values: reader.remaining })
 }
 
 /// Reads a describe or close message.
 pub fn read_object(frame: &RawFrame) -> Result<ObjectFields<'_>, FieldError> {
     let mut reader = FieldReader::new(frame);
-    let kind = match reader.byte("kind")? {
+    let kind = match reader.read_byte("kind")? {
         b'S' => ObjectKind::Statement,
         b'P' => ObjectKind::Portal,
         _ => return FieldSnafu { tag: frame.tag, field: "kind" }.fail(),
     };
-    Ok(ObjectFields { kind, name: reader.text("name")? })
+    Ok(ObjectFields { kind, name: reader.read_cstring("name")? })
 }
 
 /// Reads the portal name of an execute message.
 pub fn read_execute(frame: &RawFrame) -> Result<&str, FieldError> {
-    FieldReader::new(frame).text("portal")
+    FieldReader::new(frame).read_cstring("portal")
 }
 
 /// Writes a simple query.
 pub fn put_query(buffer: &mut BytesMut, query: &str) {
-    put_frame(buffer, QUERY, |body| put_text(body, query));
+    put_frame(buffer, QUERY, |body| put_cstring(body, query));
 }
 
 /// Writes a parse message.
 pub fn put_parse(buffer: &mut BytesMut, fields: &ParseFields<'_>) {
     put_frame(buffer, PARSE, |body| {
-        put_text(body, fields.name);
-        put_text(body, fields.query);
+        put_cstring(body, fields.name);
+        put_cstring(body, fields.query);
         body.put_slice(fields.parameter_types);
     });
 }
@@ -131,8 +131,8 @@
 /// Writes a bind message.
 pub fn put_bind(buffer: &mut BytesMut, fields: &BindFields<'_>) {
     put_frame(buffer, BIND, |body| {
-        put_text(body, fields.portal);
-        put_text(body, fields.statement);
+        put_cstring(body, fields.portal);
+        put_cstring(body, fields.statement);
         body.put_slice(fields.values);
     });
 }
@@ -141,7 +141,7 @@
 pub fn put_object(buffer: &mut BytesMut, tag: u8, fields: &ObjectFields<'_>) {
     put_frame(buffer, tag, |body| {
         body.put_u8(if fields.kind == ObjectKind::Statement { b'S' } else { b'P' });
-        put_text(body, fields.name);
+        put_cstring(body, fields.name);
     });
 }
 
@@ -150,7 +150,7 @@
     put_frame(buffer, tag, |_| {});
 }
 
-fn put_text(body: &mut BytesMut, text: &str) {
+fn put_cstring(body: &mut BytesMut, text: &str) {
     body.put_slice(text.as_bytes());
     body.put_u8(0);
 }
@@ -166,25 +166,26 @@
 
 struct FieldReader<'a> {
     tag: u8,
-    rest: &'a [u8],
+    remaining: &'a [u8],
 }
 
 impl<'a> FieldReader<'a> {
     fn new(frame: &'a RawFrame) -> Self {
-        Self { tag: frame.tag, rest: frame.body() }
+        Self { tag: frame.tag, remaining: frame.body() }
     }
 
-    fn byte(&mut self, field: &'static str) -> Result<u8, FieldError> {
-        let (first, rest) = self.rest.split_first().context(FieldSnafu { tag: self.tag, field })?;
-        self.rest = rest;
+    fn read_byte(&mut self, field: &'static str) -> Result<u8, FieldError> {
+        let (first, remaining) =
+            self.remaining.split_first().context(FieldSnafu { tag: self.tag, field })?;
+        self.remaining = remaining;
         Ok(*first)
     }
 
-    fn text(&mut self, field: &'static str) -> Result<&'a str, FieldError> {
+    fn read_cstring(&mut self, field: &'static str) -> Result<&'a str, FieldError> {
         let context = FieldSnafu { tag: self.tag, field };
-        let end = self.rest.iter().position(|byte| *byte == 0).context(context)?;
-        let text = std::str::from_utf8(&self.rest[..end]).ok().context(context)?;
-        self.rest = &self.rest[end + 1..];
+        let end = self.remaining.iter().position(|byte| *byte == 0).context(context)?;
+        let text = std::str::from_utf8(&self.remaining[..end]).ok().context(context)?;
+        self.remaining = &self.remaining[end + 1..];
         Ok(text)
     }
 }
--- a/crates/wire/src/statement.rs
+++ b/crates/wire/src/statement.rs
@@ -15,7 +15,7 @@
 /// Number of independently locked parts of the cache.
 const CACHE_SHARDS: usize = 16;
 /// Texts kept in each generation of a shard.
-const SHARD_ENTRIES: usize = 512;
+const MAX_GENERATION_ENTRIES: usize = 512;
 /// Longest text that is cached or parsed, in bytes; longer ones count as writes.
 const MAX_PARSED_BYTES: usize = 64 * 1024;
 /// Functions without side effects whose result depends on the data and arguments alone.
@@ -132,7 +132,7 @@
     /// Classifies `text` without a cache.
     pub fn of(text: &str) -> Self {
         if text.len() > MAX_PARSED_BYTES {
-            return Self::plain(StatementKind::Write, 1);
+            return Self::with_kind(StatementKind::Write, 1);
         }
         match Parser::parse_sql(&PostgreSqlDialect {}, text) {
             Ok(statements) => Self::of_statements(&statements),
@@ -140,7 +140,7 @@
         }
     }
 
-    fn plain(kind: StatementKind, count: usize) -> Self {
+    fn with_kind(kind: StatementKind, count: usize) -> Self {
         Self {
             kind,
             statement_count: count,
@@ -151,27 +151,27 @@
     }
 
     fn unsupported(feature: &'static str) -> Self {
-        Self { unsupported_feature: feature, ..Self::plain(StatementKind::Unsupported, 1) }
+        Self { unsupported_feature: feature, ..Self::with_kind(StatementKind::Unsupported, 1) }
     }
 
     fn of_unparsed(text: &str) -> Self {
-        let word = text.trim_start().split(|c: char| !c.is_ascii_alphabetic()).next();
-        match word.unwrap_or_default().to_ascii_lowercase().as_str() {
+        let keyword = text.trim_start().split(|c: char| !c.is_ascii_alphabetic()).next();
+        match keyword.unwrap_or_default().to_ascii_lowercase().as_str() {
             "copy" => Self::unsupported("COPY"),
             "listen" | "unlisten" | "notify" => Self::unsupported("LISTEN and NOTIFY"),
-            _ => Self::plain(StatementKind::Write, 1),
+            _ => Self::with_kind(StatementKind::Write, 1),
         }
     }
 
     fn of_statements(statements: &[Statement]) -> Self {
         match statements {
-            [] => Self::plain(StatementKind::Empty, 0),
+            [] => Self::with_kind(StatementKind::Empty, 0),
             [statement] => Self::of_statement(statement),
-            several => Self::of_several(several),
+            multiple => Self::of_multiple(multiple),
         }
     }
 
-    fn of_several(statements: &[Statement]) -> Self {
+    fn of_multiple(statements: &[Statement]) -> Self {
         let classes: Vec<Self> = statements.iter().map(Self::of_statement).collect();
         if classes.iter().any(|class| class.kind == StatementKind::Session) {
             return Self::unsupported("SET and SHOW together with other statements");
@@ -181,14 +181,14 @@
 
     /// Returns the class of statements that run one after the other.
     pub fn merge(classes: &[&Self]) -> Self {
-        let refused = classes.iter().find(|class| class.kind == StatementKind::Unsupported);
-        if let Some(refused) = refused {
-            return (*refused).clone();
+        let unsupported = classes.iter().find(|class| class.kind == StatementKind::Unsupported);
+        if let Some(unsupported) = unsupported {
+            return (*unsupported).clone();
         }
-        let only = |kinds: &[StatementKind]| classes.iter().all(|c| kinds.contains(&c.kind));
-        let kind = if only(&[StatementKind::Read]) {
+        let all_of = |kinds: &[StatementKind]| classes.iter().all(|c| kinds.contains(&c.kind));
+        let kind = if all_of(&[StatementKind::Read]) {
             StatementKind::Read
-        } else if only(&[StatementKind::Read, StatementKind::Write]) {
+        } else if all_of(&[StatementKind::Read, StatementKind::Write]) {
             StatementKind::Write
         } else {
             StatementKind::Mixed
@@ -196,7 +196,7 @@
         let tables: BTreeSet<&String> =
             classes.iter().flat_map(|class| class.tables.iter()).collect();
         let tables = tables.into_iter().cloned().collect();
-        Self { tables, ..Self::plain(kind, classes.len()) }
+        Self { tables, ..Self::with_kind(kind, classes.len()) }
     }
 
     fn of_statement(statement: &Statement) -> Self {
@@ -204,17 +204,17 @@
             Statement::Query(query) => Self::of_query(statement, query),
             Statement::Explain { analyze: false, .. } => Self::with_tables(statement, true),
             Statement::StartTransaction { modes, .. } => {
-                let read = TransactionMode::AccessMode(TransactionAccessMode::ReadOnly);
-                let only_reads = modes.contains(&read);
+                let read_only_mode = TransactionMode::AccessMode(TransactionAccessMode::ReadOnly);
+                let read_only = modes.contains(&read_only_mode);
                 let kind =
-                    if only_reads { StatementKind::BeginReadOnly } else { StatementKind::Begin };
-                Self::plain(kind, 1)
+                    if read_only { StatementKind::BeginReadOnly } else { StatementKind::Begin };
+                Self::with_kind(kind, 1)
             }
-            Statement::Commit { .. } => Self::plain(StatementKind::Commit, 1),
+            Statement::Commit { .. } => Self::with_kind(StatementKind::Commit, 1),
             Statement::Rollback { savepoint: Some(_), .. }
             | Statement::Savepoint { .. }
-            | Statement::ReleaseSavepoint { .. } => Self::plain(StatementKind::Savepoint, 1),
-            Statement::Rollback { .. } => Self::plain(StatementKind::Rollback, 1),
+            | Statement::ReleaseSavepoint { .. } => Self::with_kind(StatementKind::Savepoint, 1),
+            Statement::Rollback { .. } => Self::with_kind(StatementKind::Rollback, 1),
             Statement::Copy { .. } => Self::unsupported("COPY"),
             Statement::LISTEN { .. } | Statement::NOTIFY { .. } | Statement::UNLISTEN { .. } => {
                 Self::unsupported("LISTEN and NOTIFY")
@@ -232,8 +232,8 @@
             }
             Statement::Set(set) => Self::of_set(set),
             Statement::ShowVariable { variable } => {
-                let words: Vec<&str> = variable.iter().map(|word| word.value.as_str()).collect();
-                Self::of_session(SessionStatement::Show { name: words.join(".").to_lowercase() })
+                let parts: Vec<&str> = variable.iter().map(|part| part.value.as_str()).collect();
+                Self::of_session(SessionStatement::Show { name: parts.join(".").to_lowercase() })
             }
             Statement::Reset(_) | Statement::Discard { .. } => {
                 Self::of_session(SessionStatement::Reset)
@@ -243,20 +243,20 @@
     }
 
     fn of_query(statement: &Statement, query: &Query) -> Self {
-        let mut scan = ReadScan;
-        let locks = !query.locks.is_empty();
-        let read = !locks && statement.visit(&mut scan).is_continue();
-        Self::with_tables(statement, read)
+        let mut check = ReadOnlyCheck;
+        let locks_rows = !query.locks.is_empty();
+        let read_only = !locks_rows && statement.visit(&mut check).is_continue();
+        Self::with_tables(statement, read_only)
     }
 
     fn of_session(session: SessionStatement) -> Self {
-        Self { session: Some(session), ..Self::plain(StatementKind::Session, 1) }
+        Self { session: Some(session), ..Self::with_kind(StatementKind::Session, 1) }
     }
 
     fn of_set(set: &Set) -> Self {
         match set {
             Set::SingleAssignment { variable, values, scope: None, .. } => {
-                let value: Vec<String> = values.iter().map(set_value).collect();
+                let value: Vec<String> = values.iter().map(unquoted_value).collect();
                 let name = variable.to_string().replace('"', "").to_lowercase();
                 Self::of_session(SessionStatement::Set { name, value: value.join(", ") })
             }
@@ -266,33 +266,33 @@
             }),
             Set::SetTimeZone { value, .. } => Self::of_session(SessionStatement::Set {
                 name: "timezone".to_owned(),
-                value: set_value(value),
+                value: unquoted_value(value),
             }),
             _ => Self::unsupported("this form of SET"),
         }
     }
 
-    fn with_tables(statement: &Statement, read: bool) -> Self {
-        let mut scan = TableScan::default();
-        let _ = statement.visit(&mut scan);
-        let tables = scan.tables.difference(&scan.aliases).cloned().collect();
-        let kind = if read { StatementKind::Read } else { StatementKind::Write };
-        Self { tables, ..Self::plain(kind, 1) }
+    fn with_tables(statement: &Statement, read_only: bool) -> Self {
+        let mut collector = TableCollector::default();
+        let _ = statement.visit(&mut collector);
+        let tables = collector.tables.difference(&collector.cte_names).cloned().collect();
+        let kind = if read_only { StatementKind::Read } else { StatementKind::Write };
+        Self { tables, ..Self::with_kind(kind, 1) }
     }
 }
 
-fn set_value(value: &Expr) -> String {
+fn unquoted_value(value: &Expr) -> String {
     value.to_string().trim_matches('\'').to_owned()
 }
 
 /// Collects table names and the names of common table expressions.
 #[derive(Default)]
-struct TableScan {
+struct TableCollector {
     tables: BTreeSet<String>,
-    aliases: BTreeSet<String>,
+    cte_names: BTreeSet<String>,
 }
 
-impl Visitor for TableScan {
+impl Visitor for TableCollector {
     type Break = ();
 
     fn pre_visit_relation(&mut self, relation: &sqlparser::ast::ObjectName) -> ControlFlow<()> {
@@ -303,7 +303,7 @@
     fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<()> {
         let expressions = query.with.iter().flat_map(|with| with.cte_tables.iter());
         for expression in expressions {
-            self.aliases.insert(expression.alias.name.value.to_lowercase());
+            self.cte_names.insert(expression.alias.name.value.to_lowercase());
         }
         ControlFlow::Continue(())
     }
@@ -311,13 +311,13 @@
 
 /// Stops at the first part of a query that may write or that a replica may answer differently.
 #[derive(Default)]
-struct ReadScan;
+struct ReadOnlyCheck;
 
-impl Visitor for ReadScan {
+impl Visitor for ReadOnlyCheck {
     type Break = ();
 
     fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<()> {
-        if !query.locks.is_empty() || !reads_only(&query.body) {
+        if !query.locks.is_empty() || !is_read_only(&query.body) {
             return ControlFlow::Break(());
         }
         ControlFlow::Continue(())
@@ -336,11 +336,11 @@
     }
 }
 
-fn reads_only(body: &SetExpr) -> bool {
+fn is_read_only(body: &SetExpr) -> bool {
     match body {
         SetExpr::Select(select) => select.into.is_none(),
         SetExpr::Query(_) | SetExpr::Values(_) | SetExpr::Table(_) => true,
-        SetExpr::SetOperation { left, right, .. } => reads_only(left) && reads_only(right),
+        SetExpr::SetOperation { left, right, .. } => is_read_only(left) && is_read_only(right),
         _ => false,
     }
 }
@@ -363,7 +363,7 @@
     }
 
     fn insert(&mut self, text: Box<str>, class: Arc<StatementClass>) {
-        if self.newer.len() >= SHARD_ENTRIES {
+        if self.newer.len() >= MAX_GENERATION_ENTRIES {
             self.older = std::mem::take(&mut self.newer);
         }
         self.newer.insert(text, class);
@@ -386,13 +386,13 @@
 impl StatementCache {
     /// Returns the class of `text`, parsing it at most once while it stays in use.
     pub fn classify(&self, text: &str) -> Arc<StatementClass> {
-        let slot = self.hasher.hash_one(text) as usize % CACHE_SHARDS;
-        if let Some(class) = self.shards[slot].lock().get(text) {
+        let index = self.hasher.hash_one(text) as usize % CACHE_SHARDS;
+        if let Some(class) = self.shards[index].lock().get(text) {
             return class;
         }
         let class = Arc::new(StatementClass::of(text));
         if text.len() <= MAX_PARSED_BYTES {
-            self.shards[slot].lock().insert(text.into(), class.clone());
+            self.shards[index].lock().insert(text.into(), class.clone());
         }
         class
     }
--- a/crates/wire/tests/messages.rs
+++ b/crates/wire/tests/messages.rs
@@ -8,7 +8,7 @@
 use wire::statement::{StatementCache, StatementClass, StatementKind};
 
 /// Names each case of a rule.
-macro_rules! cases {
+macro_rules! test_cases {
     ($check:ident { $($name:ident: $input:expr;)* }) => {
         $(
             #[test]
@@ -26,42 +26,42 @@
     assert_eq!(class.tables, tables, "{text}");
 }
 
-cases! {
+test_cases! {
     check_kind {
-        plain_read: ("SELECT a FROM seats WHERE id = 1", StatementKind::Read, &["seats"]);
-        read_of_two_tables: ("SELECT * FROM Halls h JOIN \"seats\" s ON s.h = h.id", StatementKind::Read, &["halls", "seats"]);
-        read_of_a_common_table: ("WITH f AS (SELECT * FROM seats) SELECT count(*) FROM f", StatementKind::Read, &["seats"]);
-        read_that_locks: ("SELECT * FROM seats FOR UPDATE", StatementKind::Write, &["seats"]);
-        read_that_locks_inside: ("SELECT * FROM (SELECT * FROM seats FOR UPDATE) s", StatementKind::Write, &["seats"]);
-        read_with_a_side_effect: ("SELECT nextval('s') FROM seats", StatementKind::Write, &["seats"]);
-        read_with_an_unknown_function: ("SELECT pay(id) FROM seats", StatementKind::Write, &["seats"]);
-        write_inside_a_read: ("WITH d AS (DELETE FROM seats RETURNING id) SELECT * FROM d", StatementKind::Write, &["seats"]);
+        select: ("SELECT a FROM seats WHERE id = 1", StatementKind::Read, &["seats"]);
+        select_from_two_tables: ("SELECT * FROM Halls h JOIN \"seats\" s ON s.h = h.id", StatementKind::Read, &["halls", "seats"]);
+        select_from_common_table_expression: ("WITH f AS (SELECT * FROM seats) SELECT count(*) FROM f", StatementKind::Read, &["seats"]);
+        select_for_update: ("SELECT * FROM seats FOR UPDATE", StatementKind::Write, &["seats"]);
+        select_for_update_in_subquery: ("SELECT * FROM (SELECT * FROM seats FOR UPDATE) s", StatementKind::Write, &["seats"]);
+        select_with_side_effect: ("SELECT nextval('s') FROM seats", StatementKind::Write, &["seats"]);
+        select_with_unknown_function: ("SELECT pay(id) FROM seats", StatementKind::Write, &["seats"]);
+        delete_in_common_table_expression: ("WITH d AS (DELETE FROM seats RETURNING id) SELECT * FROM d", StatementKind::Write, &["seats"]);
         select_into: ("SELECT * INTO copy FROM seats", StatementKind::Write, &["seats"]);
-        plain_write: ("INSERT INTO seats VALUES (1)", StatementKind::Write, &["seats"]);
-        explained_read: ("EXPLAIN SELECT * FROM seats", StatementKind::Read, &["seats"]);
-        explained_and_run: ("EXPLAIN ANALYZE DELETE FROM seats", StatementKind::Write, &["seats"]);
+        insert: ("INSERT INTO seats VALUES (1)", StatementKind::Write, &["seats"]);
+        explain: ("EXPLAIN SELECT * FROM seats", StatementKind::Read, &["seats"]);
+        explain_analyze: ("EXPLAIN ANALYZE DELETE FROM seats", StatementKind::Write, &["seats"]);
         begin: ("BEGIN", StatementKind::Begin, &[]);
         begin_read_only: ("START TRANSACTION READ ONLY", StatementKind::BeginReadOnly, &[]);
         commit: ("COMMIT;", StatementKind::Commit, &[]);
         end: ("END", StatementKind::Commit, &[]);
         rollback: ("ROLLBACK", StatementKind::Rollback, &[]);
-        rollback_to: ("ROLLBACK TO SAVEPOINT a", StatementKind::Savepoint, &[]);
+        rollback_to_savepoint: ("ROLLBACK TO SAVEPOINT a", StatementKind::Savepoint, &[]);
         copy: ("COPY seats FROM STDIN", StatementKind::Unsupported, &[]);
-        copy_that_does_not_parse: ("copy seats from stdin with (nonsense 1 2)", StatementKind::Unsupported, &[]);
-        hidden_copy: ("SELECT 1; COPY seats TO STDOUT", StatementKind::Unsupported, &[]);
+        copy_with_syntax_error: ("copy seats from stdin with (nonsense 1 2)", StatementKind::Unsupported, &[]);
+        copy_among_several_statements: ("SELECT 1; COPY seats TO STDOUT", StatementKind::Unsupported, &[]);
         set: ("SET application_name = 'x'", StatementKind::Session, &[]);
-        set_hidden_in_others: ("SELECT 1; SET search_path = x", StatementKind::Unsupported, &[]);
-        nothing: (" ; ", StatementKind::Empty, &[]);
-        comment: ("-- nothing", StatementKind::Empty, &[]);
-        unparsed: ("FROBNICATE seats", StatementKind::Write, &[]);
-        two_reads: ("SELECT 1 FROM a; SELECT 2 FROM b", StatementKind::Read, &["a", "b"]);
-        read_and_write: ("SELECT 1 FROM a; DELETE FROM b", StatementKind::Write, &["a", "b"]);
-        block_in_one_text: ("BEGIN; DELETE FROM b; COMMIT", StatementKind::Mixed, &["b"]);
+        set_among_several_statements: ("SELECT 1; SET search_path = x", StatementKind::Unsupported, &[]);
+        separator_only: (" ; ", StatementKind::Empty, &[]);
+        comment_only: ("-- nothing", StatementKind::Empty, &[]);
+        unknown_keyword: ("FROBNICATE seats", StatementKind::Write, &[]);
+        two_selects: ("SELECT 1 FROM a; SELECT 2 FROM b", StatementKind::Read, &["a", "b"]);
+        select_and_delete: ("SELECT 1 FROM a; DELETE FROM b", StatementKind::Write, &["a", "b"]);
+        transaction_in_one_text: ("BEGIN; DELETE FROM b; COMMIT", StatementKind::Mixed, &["b"]);
     }
 }
 
 #[test]
-fn the_cache_gives_what_classification_gives() {
+fn cached_class_equals_fresh_class() {
     let cache = StatementCache::default();
     for round in 0..3 {
         for number in 0..20_000 {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn group_commands_are_read_back_as_written() {
+fn group_commands_round_trip() {
     let commands = [
         GroupCommand::Status,
         GroupCommand::Confirm,
@@ -99,7 +99,7 @@
     assert_eq!(GroupCommand::parse("SELECT 1"), None);
 }
 
-fn frame_of(tag: u8, body: &[u8]) -> RawFrame {
+fn raw_frame(tag: u8, body: &[u8]) -> RawFrame {
     let mut bytes = BytesMut::from(&[tag][..]);
     bytes.extend_from_slice(&(body.len() as u32 + 4).to_be_bytes());
     bytes.extend_from_slice(body);
@@ -107,7 +107,7 @@
 }
 
 quickcheck! {
-    fn any_bytes_are_split_without_a_panic(bytes: Vec<u8>) -> bool {
+    fn split_frame_accepts_arbitrary_bytes(bytes: Vec<u8>) -> bool {
         let mut buffer = BytesMut::from(&bytes[..]);
         let before = buffer.len();
         match split_frame(&mut buffer, 1_024) {
@@ -116,9 +116,9 @@
         }
     }
 
-    fn any_body_is_read_without_a_panic(body: Vec<u8>) -> bool {
+    fn field_readers_accept_arbitrary_bodies(body: Vec<u8>) -> bool {
         for tag in [b'Q', b'P', b'B', b'D', b'E', b'C'] {
-            let frame = frame_of(tag, &body);
+            let frame = raw_frame(tag, &body);
             let _ = frontend::read_query(&frame);
             let _ = frontend::read_parse(&frame);
             let _ = frontend::read_bind(&frame);
@@ -128,12 +128,12 @@
         true
     }
 
-    fn any_text_is_classified_without_a_panic(text: String) -> bool {
+    fn classification_accepts_arbitrary_text(text: String) -> bool {
         let class = StatementClass::of(&text);
         class.kind != StatementKind::Read || class.statement_count > 0
     }
 
-    fn a_bind_keeps_its_values(values: Vec<u8>) -> bool {
+    fn bind_message_round_trips(values: Vec<u8>) -> bool {
         let mut buffer = BytesMut::new();
         let fields = frontend::BindFields { portal: "p", statement: "s", values: &values };
         frontend::put_bind(&mut buffer, &fields);
