--- a/crates/engine/src/node.rs
+++ b/crates/engine/src/node.rs
@@ -177,9 +177,9 @@
         let version = self.directory.borrow().document().version;
         let age = self.confirmation.borrow().proof_age(self.now());
         if confirmed {
-            log_event!(LogEvent::DocumentConfirmed, "version={version} proof_age={age:?}");
+            log_event!(LogEvent::DocumentValidationRestored, "version={version} proof_age={age:?}");
         } else {
-            log_event!(LogEvent::DocumentUnconfirmed, "version={version} proof_age={age:?}");
+            log_event!(LogEvent::DocumentValidationExpired, "version={version} proof_age={age:?}");
         }
     }
 
--- a/crates/proxy/src/session/admit.rs
+++ b/crates/proxy/src/session/admit.rs
@@ -49,10 +49,10 @@
         let end =
             |reason, detail: &str| Err(SessionEnd::Refused(RequestRefusal::new(reason, detail)));
         let Some(team) = catalog.team(self.team) else {
-            return end(RefusalReason::KeyWithdrawn, "the team is no longer declared");
+            return end(RefusalReason::KeyRevoked, "the team is no longer declared");
         };
         if self.key.is_some_and(|key| !team.keys.contains(&key)) {
-            return end(RefusalReason::KeyWithdrawn, "the key was withdrawn");
+            return end(RefusalReason::KeyRevoked, "the key was withdrawn");
         }
         let found = catalog.database(self.database.key);
         let handle = self.instance.database(self.database.key);
@@ -85,7 +85,7 @@
         }
         if self.key.is_some() && !self.instance.is_document_valid(self.instance.now()) {
             let detail = "the instance cannot tell whether the key is still in force";
-            return Err(RequestRefusal::new(RefusalReason::KeyUnconfirmed, detail));
+            return Err(RequestRefusal::new(RefusalReason::KeyNotValidated, detail));
         }
         let kind =
             if class.kind == StatementKind::Read { RouteKind::Read } else { RouteKind::Write };
@@ -125,7 +125,7 @@
         let asked_at = instance.now();
         if !instance.is_epoch_valid(asked_at) {
             let detail = "the instance cannot tell whether its share of the rate is still valid";
-            return Err(RequestRefusal::new(RefusalReason::KeyUnconfirmed, detail));
+            return Err(RequestRefusal::new(RefusalReason::KeyNotValidated, detail));
         }
         let mut taken = instance.limiter.take(self.team, cost, asked_at);
         loop {
--- a/crates/telemetry/src/event.rs
+++ b/crates/telemetry/src/event.rs
@@ -46,9 +46,9 @@
     /// A document was refused by this instance.
     DocumentRefused = 1102, Error, "document_refused";
     /// The instance cannot tell whether its document is still in force.
-    DocumentUnconfirmed = 1103, Warn, "document_unconfirmed";
+    DocumentValidationExpired = 1103, Warn, "document_unconfirmed";
     /// The instance can tell again whether its document is in force.
-    DocumentConfirmed = 1104, Info, "document_confirmed";
+    DocumentValidationRestored = 1104, Info, "document_confirmed";
     /// An operator's document was accepted.
     DocumentAccepted = 1105, Info, "document_accepted";
     /// An operator's document lost a race.
--- a/crates/wire/src/refusal.rs
+++ b/crates/wire/src/refusal.rs
@@ -61,9 +61,9 @@
     /// The team is not declared.
     UnknownTeam => "unknown_team", "28000", NotRun;
     /// The key was withdrawn while the connection was open.
-    KeyWithdrawn => "key_withdrawn", "28000", NotRun;
+    KeyRevoked => "key_withdrawn", "28000", NotRun;
     /// The instance cannot tell whether the key is still in force.
-    KeyUnconfirmed => "key_unconfirmed", "57P03", NotRun;
+    KeyNotValidated => "key_unconfirmed", "57P03", NotRun;
     /// The database is not declared.
     UnknownDatabase => "unknown_database", "3D000", NotRun;
     /// The team may not use the database.
