--- a/crates/net/src/member.rs
+++ b/crates/net/src/member.rs
@@ -56,10 +56,10 @@
         message: String,
     },
     /// The member sent something unexpected.
-    #[snafu(display("the member broke the protocol: {detail}"))]
+    #[snafu(display("the member broke the protocol: {expected}"))]
     Protocol {
         /// What was expected.
-        detail: &'static str,
+        expected: &'static str,
     },
 }
 
@@ -139,7 +139,7 @@
             startup.parameters.insert(name.to_owned(), value);
         }
         let mut output = BytesMut::new();
-        startup.encode(&mut output).ok().context(ProtocolSnafu { detail: "startup" })?;
+        startup.encode(&mut output).ok().context(ProtocolSnafu { expected: "startup" })?;
         self.socket.write(&output).await?;
         let context = DecodeContext::default();
         loop {
@@ -151,13 +151,13 @@
                 _ => {}
             }
             let message = backend::decode(frame, &context);
-            match message.context(ProtocolSnafu { detail: "startup answer" })? {
+            match message.context(ProtocolSnafu { expected: "startup answer" })? {
                 PgWireBackendMessage::Authentication(Authentication::Ok) => {}
                 PgWireBackendMessage::Authentication(Authentication::CleartextPassword) => {
                     self.send_password(&target.password).await?;
                 }
                 PgWireBackendMessage::Authentication(_) => {
-                    return ProtocolSnafu { detail: "no password or a cleartext one" }.fail();
+                    return ProtocolSnafu { expected: "no password or a cleartext one" }.fail();
                 }
                 PgWireBackendMessage::BackendKeyData(key) => {
                     self.process_id = key.pid;
@@ -171,7 +171,7 @@
     async fn send_password(&mut self, password: &str) -> Result<(), MemberError> {
         let mut output = BytesMut::new();
         let message = Password::new(password.to_owned());
-        message.encode(&mut output).ok().context(ProtocolSnafu { detail: "password" })?;
+        message.encode(&mut output).ok().context(ProtocolSnafu { expected: "password" })?;
         Ok(self.socket.write(&output).await?)
     }
 
@@ -200,7 +200,7 @@
             backend::READY_FOR_QUERY => {
                 let state = backend::read_transaction_state(frame.body());
                 self.transaction_state =
-                    state.context(ProtocolSnafu { detail: "transaction state" })?;
+                    state.context(ProtocolSnafu { expected: "transaction state" })?;
                 self.last_active_at = Instant::now();
             }
             _ => {}
@@ -260,18 +260,18 @@
     /// Asks for the member's status.
     pub async fn status(&mut self, limit: Duration) -> Result<MemberStatus, MemberError> {
         let text = self.command(&GroupCommand::Status, limit).await?;
-        text.parse().ok().context(ProtocolSnafu { detail: "status" })
+        text.parse().ok().context(ProtocolSnafu { expected: "status" })
     }
 
     /// Reads the answer to one group command sent before.
     pub async fn read_command_answer(&mut self) -> Result<String, MemberError> {
-        let mut answer = Err(MemberError::Protocol { detail: "a row" });
+        let mut answer = Err(MemberError::Protocol { expected: "a row" });
         loop {
             let frame = self.next_frame().await?;
             match frame.tag {
                 backend::DATA_ROW => {
                     let column = backend::read_data_row(frame.body()).into_iter().next().flatten();
-                    answer = column.context(ProtocolSnafu { detail: "a text column" });
+                    answer = column.context(ProtocolSnafu { expected: "a text column" });
                 }
                 backend::ERROR_RESPONSE => answer = Err(error_response(frame.body())),
                 backend::READY_FOR_QUERY => return answer,
--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -437,7 +437,7 @@
                 // Of a plain read that the caller has in part only this member has the rest.
                 () = given_up => match plan.is_plain_read() && sent.load(Ordering::Relaxed) {
                     true => run.await,
-                    false => ExchangeEnd::Lost(MemberError::Protocol { detail: GIVEN_UP }),
+                    false => ExchangeEnd::Lost(MemberError::Protocol { expected: GIVEN_UP }),
                 },
             }
         };
--- a/crates/proxy/src/steward.rs
+++ b/crates/proxy/src/steward.rs
@@ -213,5 +213,5 @@
 ) -> Result<MemberStatus, MemberError> {
     let mut connection = database.members[member].open_control().await?;
     let text = connection.command(command, COMMAND_LIMIT).await?;
-    text.parse().map_err(|_| MemberError::Protocol { detail: "a status" })
+    text.parse().map_err(|_| MemberError::Protocol { expected: "a status" })
 }
--- a/crates/proxy/src/watcher.rs
+++ b/crates/proxy/src/watcher.rs
@@ -104,9 +104,9 @@
     let status = connection.read_command_answer().await?;
     connection.read_command_answer().await?;
     let status: MemberStatus =
-        status.parse().map_err(|_| MemberError::Protocol { detail: "a status" })?;
+        status.parse().map_err(|_| MemberError::Protocol { expected: "a status" })?;
     if status.position.role != MemberRole::Primary {
-        return Err(MemberError::Protocol { detail: "a primary" });
+        return Err(MemberError::Protocol { expected: "a primary" });
     }
     Ok(status.position)
 }
