--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,4 @@
-//! Transport layer: clock, sockets to members, connection pools and the platform's services.
+//! Transports: member connections and pools, peer channels and clients of the platform services.
 
 pub mod member;
 pub mod peer;
--- a/crates/net/src/member.rs
+++ b/crates/net/src/member.rs
@@ -1,4 +1,4 @@
-//! Connection to a member of a database group.
+//! Connections to members of a database group.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -19,75 +19,75 @@
 
 use crate::socket::{FramedSocket, SocketError};
 
-/// Largest frame accepted from a member, in bytes.
+/// Maximum size of a frame from a member, in bytes.
 const MAX_FRAME_BYTES: usize = 1 << 30;
-/// Prefix of the application name by which a member learns the caller's availability zone.
+/// Prefix of the application name, by which a member learns the instance's availability zone.
 const APPLICATION_NAME_PREFIX: &str = "hibiscus/";
 
-/// Errors of a connection to a member.
+/// Error on a connection to a member.
 #[derive(Debug, Snafu)]
 pub enum MemberError {
-    /// The member did not accept the connection.
+    /// The TCP connection could not be opened.
     #[snafu(display("cannot connect to {address}: {source}"))]
     Connect {
-        /// Address that was tried.
+        /// Address of the member.
         address: SocketAddr,
-        /// Cause reported by the system.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The member did not answer in time.
-    #[snafu(display("no answer within {} ms", limit.as_millis()))]
+    /// The member did not respond in time.
+    #[snafu(display("no response within {} ms", limit.as_millis()))]
     Timeout {
-        /// Time that was waited.
+        /// Timeout of the operation.
         limit: Duration,
     },
-    /// The connection failed.
+    /// The connection failed after it was opened.
     #[snafu(display("{source}"), context(false))]
     Socket {
-        /// Cause reported by the socket.
+        /// Error of the socket.
         source: SocketError,
     },
-    /// The member answered with an error.
-    #[snafu(display("the member refused: {sqlstate} {message}"))]
+    /// The member returned an error response.
+    #[snafu(display("error response {sqlstate}: {message}"))]
     ErrorResponse {
         /// SQLSTATE of the error.
         sqlstate: String,
         /// Message of the error.
         message: String,
     },
-    /// The member sent something unexpected.
-    #[snafu(display("the member broke the protocol: {expected}"))]
+    /// The member violated the protocol, or a message to it cannot be encoded.
+    #[snafu(display("protocol violation: expected {expected}"))]
     Protocol {
-        /// What was expected.
+        /// Message or value that was expected.
         expected: &'static str,
     },
 }
 
 impl MemberError {
-    /// Tells whether the member refused because it is not the primary.
+    /// Returns whether the member refused a statement because it is not the primary.
     pub fn is_not_primary(&self) -> bool {
         matches!(self, Self::ErrorResponse { sqlstate, .. } if sqlstate == NOT_PRIMARY)
     }
 }
 
-/// Where and as whom to connect.
+/// Address, credentials and timeout of connections to a member.
 #[derive(Clone, Debug)]
 pub struct MemberTarget {
     /// Address of the member.
     pub address: SocketAddr,
-    /// Name of the database.
+    /// Database name.
     pub database: String,
     /// User name.
     pub user: String,
-    /// Password, if the member asks for one.
+    /// Password, sent only if the member requests it.
     pub password: String,
     /// Availability zone of this instance.
     pub zone: String,
-    /// Time that opening a connection may take.
+    /// Timeout of opening a connection, authentication included.
     pub connect_timeout: Duration,
 }
 
-/// Open connection with what the proxy knows of its state.
+/// Open connection to a member with its tracked session state.
 #[derive(Debug)]
 pub struct MemberConnection {
     socket: FramedSocket,
@@ -97,14 +97,14 @@
     position: Option<MemberPosition>,
     transaction_state: TransactionState,
     last_active_at: Instant,
-    /// Identifiers of the statements prepared on this connection.
+    /// Identifiers of the prepared statements that exist on this connection.
     pub prepared_statements: HashSet<u64>,
     /// Fingerprint of the session parameters set on this connection.
     pub parameter_fingerprint: u64,
 }
 
 impl MemberConnection {
-    /// Opens a connection and waits until the member is ready.
+    /// Opens a connection, authenticates and waits until the member is ready for queries.
     pub async fn open(target: &MemberTarget) -> Result<Self, MemberError> {
         let limit = target.connect_timeout;
         let open = timeout(limit, Self::open_without_timeout(target)).await;
@@ -139,7 +139,10 @@
             startup.parameters.insert(name.to_owned(), value);
         }
         let mut output = BytesMut::new();
-        startup.encode(&mut output).ok().context(ProtocolSnafu { expected: "startup" })?;
+        startup
+            .encode(&mut output)
+            .ok()
+            .context(ProtocolSnafu { expected: "encodable startup parameters" })?;
         self.socket.write(&output).await?;
         let context = DecodeContext::default();
         loop {
@@ -151,13 +154,13 @@
                 _ => {}
             }
             let message = backend::decode(frame, &context);
-            match message.context(ProtocolSnafu { expected: "startup answer" })? {
+            match message.context(ProtocolSnafu { expected: "a startup response" })? {
                 PgWireBackendMessage::Authentication(Authentication::Ok) => {}
                 PgWireBackendMessage::Authentication(Authentication::CleartextPassword) => {
                     self.send_password(&target.password).await?;
                 }
                 PgWireBackendMessage::Authentication(_) => {
-                    return ProtocolSnafu { expected: "no password or a cleartext one" }.fail();
+                    return ProtocolSnafu { expected: "no or cleartext authentication" }.fail();
                 }
                 PgWireBackendMessage::BackendKeyData(key) => {
                     self.process_id = key.pid;
@@ -171,16 +174,19 @@
     async fn send_password(&mut self, password: &str) -> Result<(), MemberError> {
         let mut output = BytesMut::new();
         let message = Password::new(password.to_owned());
-        message.encode(&mut output).ok().context(ProtocolSnafu { expected: "password" })?;
+        message
+            .encode(&mut output)
+            .ok()
+            .context(ProtocolSnafu { expected: "an encodable password" })?;
         Ok(self.socket.write(&output).await?)
     }
 
-    /// Sends bytes.
+    /// Writes encoded messages to the connection.
     pub async fn send(&mut self, bytes: &[u8]) -> Result<(), MemberError> {
         Ok(self.socket.write(bytes).await?)
     }
 
-    /// Reads one frame and takes note of positions and of the transaction state.
+    /// Reads the next frame and records the position or transaction state that it reports.
     pub async fn next_frame(&mut self) -> Result<RawFrame, MemberError> {
         loop {
             if let Some(frame) = self.take_frame()? {
@@ -190,7 +196,9 @@
         }
     }
 
-    /// Splits off a frame that has been read whole and takes note of what it says.
+    /// Splits off the next frame and records the position or transaction state that it reports.
+    ///
+    /// Returns `None` if the frame is incomplete.
     pub fn take_frame(&mut self) -> Result<Option<RawFrame>, MemberError> {
         let Some(frame) = self.socket.take_frame()? else {
             return Ok(None);
@@ -200,7 +208,7 @@
             backend::READY_FOR_QUERY => {
                 let state = backend::read_transaction_state(frame.body());
                 self.transaction_state =
-                    state.context(ProtocolSnafu { expected: "transaction state" })?;
+                    state.context(ProtocolSnafu { expected: "a transaction state" })?;
                 self.last_active_at = Instant::now();
             }
             _ => {}
@@ -208,17 +216,17 @@
         Ok(Some(frame))
     }
 
-    /// Returns the header of the next frame, whole or not.
+    /// Returns the header of the next frame, whose body may be incomplete.
     pub fn peek_header(&self) -> Result<Option<FrameHeader>, MemberError> {
         Ok(self.socket.peek_header()?)
     }
 
-    /// Returns the bytes read and not yet taken.
+    /// Returns the buffer of bytes that are read but not consumed.
     pub fn input(&mut self) -> &mut BytesMut {
         self.socket.input()
     }
 
-    /// Reads at least one byte.
+    /// Waits for input and appends at least one byte to the buffer.
     pub async fn fill(&mut self) -> Result<(), MemberError> {
         Ok(self.socket.fill().await?)
     }
@@ -229,22 +237,22 @@
         }
     }
 
-    /// Returns the position that the member reported last on this connection.
+    /// Returns the last position that the member reported on this connection.
     pub fn position(&self) -> Option<MemberPosition> {
         self.position
     }
 
-    /// Returns the transaction state that the member reported last.
+    /// Returns the last transaction state that the member reported.
     pub fn transaction_state(&self) -> TransactionState {
         self.transaction_state
     }
 
-    /// Returns when the connection last completed an exchange.
+    /// Returns the time at which the member was last ready for a query.
     pub fn last_active_at(&self) -> Instant {
         self.last_active_at
     }
 
-    /// Runs a group command and returns the text it answers.
+    /// Runs a group command and returns the first column of its row.
     pub async fn command(
         &mut self,
         command: &GroupCommand,
@@ -253,41 +261,41 @@
         let mut output = BytesMut::new();
         frontend::put_query(&mut output, &command.to_string());
         self.send(&output).await?;
-        let answer = timeout(limit, self.read_command_answer()).await;
-        answer.ok().context(TimeoutSnafu { limit })?
+        let response = timeout(limit, self.read_command_answer()).await;
+        response.ok().context(TimeoutSnafu { limit })?
     }
 
-    /// Asks for the member's status.
+    /// Queries the member's status.
     pub async fn status(&mut self, limit: Duration) -> Result<MemberStatus, MemberError> {
         let text = self.command(&GroupCommand::Status, limit).await?;
-        text.parse().ok().context(ProtocolSnafu { expected: "status" })
+        text.parse().ok().context(ProtocolSnafu { expected: "a status" })
     }
 
-    /// Reads the answer to one group command sent before.
+    /// Reads the response to a group command that is already sent.
     pub async fn read_command_answer(&mut self) -> Result<String, MemberError> {
-        let mut answer = Err(MemberError::Protocol { expected: "a row" });
+        let mut response = Err(MemberError::Protocol { expected: "a data row" });
         loop {
             let frame = self.next_frame().await?;
             match frame.tag {
                 backend::DATA_ROW => {
                     let column = backend::read_data_row(frame.body()).into_iter().next().flatten();
-                    answer = column.context(ProtocolSnafu { expected: "a text column" });
+                    response = column.context(ProtocolSnafu { expected: "a text column" });
                 }
-                backend::ERROR_RESPONSE => answer = Err(error_response(frame.body())),
-                backend::READY_FOR_QUERY => return answer,
+                backend::ERROR_RESPONSE => response = Err(error_response(frame.body())),
+                backend::READY_FOR_QUERY => return response,
                 _ => {}
             }
         }
     }
 
-    /// Returns what a cancel request for the running statement needs.
+    /// Returns a handle that can cancel the running statement, if the member sent a cancel key.
     pub fn cancel_handle(&self) -> Option<CancelHandle> {
         let secret_key = self.secret_key.clone()?;
         Some(CancelHandle { address: self.address, process_id: self.process_id, secret_key })
     }
 }
 
-/// Names a running statement in a cancel request.
+/// Handle that cancels the statement running on a connection.
 #[derive(Clone, Debug)]
 pub struct CancelHandle {
     address: SocketAddr,
@@ -296,7 +304,7 @@
 }
 
 impl CancelHandle {
-    /// Sends the cancel request on a connection of its own.
+    /// Sends a cancel request on a separate connection.
     pub async fn send(&self) -> std::io::Result<()> {
         use pgwire::messages::cancel::CancelRequest;
         let mut output = BytesMut::new();
--- a/crates/net/src/peer.rs
+++ b/crates/net/src/peer.rs
@@ -1,4 +1,4 @@
-//! Channels to other instances.
+//! gRPC channels to other instances.
 
 use std::error::Error;
 use std::io;
@@ -9,25 +9,25 @@
 use tonic::transport::{Channel, Endpoint};
 use wire::peer::peer_client::PeerClient;
 
-/// Time that opening a channel may take.
+/// Timeout of connecting to an instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time that a call may take.
+/// Timeout of a call to an instance.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Client of another instance.
+/// gRPC client of another instance.
 pub type PeerHandle = PeerClient<Channel>;
 
-/// Creates a channel that connects when it is first used and again after it breaks.
+/// Creates a client that connects on first use and reconnects after a failure.
 pub fn connect_lazy(address: SocketAddr) -> PeerHandle {
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
-        .expect("an address makes a valid URI")
+        .expect("a socket address is a valid URI authority")
         .connect_timeout(CONNECT_TIMEOUT)
         .timeout(CALL_TIMEOUT)
         .tcp_nodelay(true);
     PeerClient::new(endpoint.connect_lazy())
 }
 
-/// Tells whether a call failed because no process listens at the address.
+/// Returns whether a call failed because the connection was refused: no process listens there.
 pub fn is_connection_refused(status: &Status) -> bool {
     let mut cause = status.source();
     while let Some(error) = cause {
--- a/crates/net/src/platform.rs
+++ b/crates/net/src/platform.rs
@@ -1,4 +1,4 @@
-//! Platform services: interfaces and their HTTP client.
+//! Interfaces of the platform services and their HTTP client.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,26 +10,26 @@
 use telemetry::meter;
 use wire::platform::{InstanceRecord, TableRow, TableTransaction, TransactionReply};
 
-/// Future of an interface's operation.
+/// Boxed future of a platform operation.
 pub type PlatformFuture<'a, T> =
     Pin<Box<dyn Future<Output = Result<T, PlatformError>> + Send + 'a>>;
 
-/// Errors of the platform's services.
+/// Error of a platform operation.
 #[derive(Debug, Snafu)]
 pub enum PlatformError {
-    /// The operation did not take effect.
-    #[snafu(display("the platform's service is down"))]
+    /// The service is unavailable and the operation did not take effect.
+    #[snafu(display("platform service unavailable"))]
     Unavailable,
-    /// The operation may have taken effect.
-    #[snafu(display("no answer from the platform's service: {source}"))]
+    /// No valid response arrived, so the operation may have taken effect.
+    #[snafu(display("no response from platform service: {source}"))]
     OutcomeUnknown {
-        /// Cause reported by the HTTP client.
+        /// Error of the HTTP client.
         source: reqwest::Error,
     },
-    /// The service answered with an unexpected status.
-    #[snafu(display("the platform's service answered {status}"))]
+    /// The service responded with an unexpected status.
+    #[snafu(display("unexpected status {status} from platform service"))]
     Status {
-        /// Status of the answer.
+        /// HTTP status of the response.
         status: StatusCode,
     },
 }
@@ -40,7 +40,7 @@
     fn transact(&self, transaction: TableTransaction) -> PlatformFuture<'_, TransactionReply>;
     /// Reads one row.
     fn row(&self, key: String) -> PlatformFuture<'_, Option<TableRow>>;
-    /// Reads the rows whose key starts with a prefix.
+    /// Reads all rows whose keys start with a prefix.
     fn scan(&self, prefix: String) -> PlatformFuture<'_, Vec<TableRow>>;
 }
 
@@ -52,13 +52,13 @@
     fn get(&self, name: String) -> PlatformFuture<'_, Option<Vec<u8>>>;
 }
 
-/// Lagging list of instances.
+/// List of instances, which may lag behind the actual state.
 pub trait InstanceList: Send + Sync {
     /// Reads the list.
     fn instances(&self) -> PlatformFuture<'_, Vec<InstanceRecord>>;
 }
 
-/// Client of the platform's services over HTTP.
+/// HTTP client of the platform services.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     base_url: String,
@@ -66,7 +66,7 @@
 }
 
 impl PlatformClient {
-    /// Creates a client for the services at `base`, such as `http://127.0.0.1:7000`.
+    /// Creates a client for the services at `base_url`, such as `http://127.0.0.1:7000`.
     pub fn new(base_url: impl Into<String>, timeout: Duration) -> Result<Self, PlatformError> {
         let client = Client::builder().timeout(timeout).build().context(OutcomeUnknownSnafu)?;
         Ok(Self { base_url: base_url.into(), client })
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -1,4 +1,4 @@
-//! Pool of connections to one member, shared by the teams through a fair queue.
+//! Connection pool of one member, shared among teams by a fair queue.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,34 +13,34 @@
 
 use crate::member::{MemberConnection, MemberError, MemberTarget};
 
-/// Idle time after which a connection is proven before it carries a request.
+/// Idle time after which a connection's liveness is checked before it is used again.
 const LIVENESS_CHECK_THRESHOLD: Duration = Duration::from_secs(1);
-/// Time that such a proof may take.
+/// Timeout of a liveness check.
 const LIVENESS_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time after which a connection is closed.
+/// Idle time after which a connection is evicted.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(120);
 
-/// Errors of taking a connection.
+/// Error on acquiring a connection.
 #[derive(Debug, Snafu)]
 pub enum PoolError {
-    /// The queue refused the request.
-    #[snafu(display("the queue is full"))]
+    /// The queue is full.
+    #[snafu(display("connection queue is full"))]
     QueueFull,
-    /// The request cannot start before its deadline.
+    /// No connection is available before the deadline, or the member has reached its limit.
     #[snafu(display("no connection before the deadline"))]
     DeadlineExceeded {
-        /// Time after which a retry may pass.
+        /// Delay after which a retry may succeed.
         retry_after: Duration,
     },
     /// A connection could not be opened.
     #[snafu(display("{source}"))]
     Connect {
-        /// Cause reported by the connection.
+        /// Error on opening the connection.
         source: MemberError,
     },
 }
 
-/// Right to use one connection, returned to the queue when dropped.
+/// Permit to use one connection, released to the queue on drop.
 #[derive(Debug)]
 struct PoolPermit {
     pool: Arc<PoolShared>,
@@ -60,7 +60,7 @@
 struct PoolState {
     queue: FairQueue<TeamKey, oneshot::Sender<PoolPermit>>,
     idle: Vec<MemberConnection>,
-    /// Raised when every idle connection became useless.
+    /// Incremented on invalidation; connections of older generations are not reused.
     generation: u64,
 }
 
@@ -71,30 +71,30 @@
 }
 
 impl PoolShared {
-    /// Grants free permits to the requests whose turn it is.
+    /// Hands free permits to the next queued requests.
     fn dispatch(self: &Arc<Self>) {
         loop {
             let mut expired = Vec::new();
             let next = self.state.lock().queue.pop(Instant::now(), &mut expired);
-            // A dropped sender tells its request that it came too late.
+            // Dropping the sender of an expired request fails its wait.
             drop(expired);
             let Some((team, sender)) = next else {
                 return;
             };
             let permit = PoolPermit { pool: self.clone(), team, acquired_at: Instant::now() };
-            // A request that gave up returns the permit by dropping it.
+            // If the request has been cancelled, the unsent permit is dropped and thereby released.
             drop(sender.send(permit));
         }
     }
 }
 
-/// Pool of connections to one member.
+/// Connection pool of one member.
 #[derive(Clone, Debug)]
 pub struct MemberPool {
     shared: Arc<PoolShared>,
 }
 
-/// Connection taken from a pool; dropping it closes it.
+/// Connection acquired from a pool; dropping it closes the connection.
 #[derive(Debug)]
 pub struct PooledConnection {
     connection: MemberConnection,
@@ -103,12 +103,12 @@
 }
 
 impl PooledConnection {
-    /// Returns the connection.
+    /// Returns the underlying connection.
     pub fn connection_mut(&mut self) -> &mut MemberConnection {
         &mut self.connection
     }
 
-    /// Returns the connection to the pool; its last exchange must be complete.
+    /// Returns the connection to the pool. All responses on it must have been read.
     pub fn release(self) {
         let Self { connection, generation, permit } = self;
         let mut state = permit.pool.state.lock();
@@ -121,13 +121,13 @@
 }
 
 impl MemberPool {
-    /// Creates a pool that opens at most `capacity` connections.
+    /// Creates a pool of at most `capacity` connections.
     pub fn new(target: MemberTarget, capacity: usize) -> Self {
         let state = PoolState { queue: FairQueue::new(capacity), idle: Vec::new(), generation: 0 };
         Self { shared: Arc::new(PoolShared { target, state: Mutex::new(state) }) }
     }
 
-    /// Changes the number of connections that the pool may open.
+    /// Sets the maximum number of connections and closes surplus idle ones.
     pub fn resize(&self, capacity: usize) {
         let mut state = self.shared.state.lock();
         state.queue.resize(capacity);
@@ -138,26 +138,26 @@
         self.shared.dispatch();
     }
 
-    /// Returns the requests running and waiting.
+    /// Returns the number of requests that are in flight or queued.
     pub fn load(&self) -> u32 {
         let state = self.shared.state.lock();
         (state.queue.in_use() + state.queue.waiting()) as u32
     }
 
-    /// Closes every idle connection, and those in use once they are returned.
+    /// Closes all idle connections at once and those in use on their release.
     pub fn invalidate_all(&self) {
         let mut state = self.shared.state.lock();
         state.generation += 1;
         state.idle.clear();
     }
 
-    /// Closes connections that have been idle for long.
+    /// Closes connections that have been idle for `MAX_IDLE_TIME`.
     pub fn evict_idle(&self, now: Instant) {
         let mut state = self.shared.state.lock();
         state.idle.retain(|idle| now.duration_since(idle.last_active_at()) < MAX_IDLE_TIME);
     }
 
-    /// Takes a connection, waiting for the team's turn until `deadline`.
+    /// Acquires a connection, queued with the requests of all teams until `deadline`.
     pub async fn acquire(
         &self,
         team: TeamKey,
@@ -222,7 +222,7 @@
     }
 }
 
-/// Returns the connection if it was used a moment ago or answers now.
+/// Returns the connection if it was active recently or responds to a status query.
 async fn check_liveness(mut connection: MemberConnection) -> Option<MemberConnection> {
     if connection.last_active_at().elapsed() < LIVENESS_CHECK_THRESHOLD {
         return Some(connection);
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -1,4 +1,4 @@
-//! Socket that reads whole frames and keeps no buffer while it is idle.
+//! TCP socket that reads complete frames and holds no buffer while idle.
 
 use std::io::{self, Read as _};
 
@@ -9,30 +9,30 @@
 use tokio::net::TcpStream;
 use wire::frame::{self, FrameError, FrameHeader, RawFrame};
 
-/// Bytes that one read takes at most.
+/// Maximum number of bytes per read.
 const MAX_READ_BYTES: usize = 16 * 1024;
 
-/// Errors of a framed socket.
+/// Error on a framed socket.
 #[derive(Debug, Snafu)]
 pub enum SocketError {
-    /// The other end closed the connection.
-    #[snafu(display("the connection was closed"))]
+    /// The remote end closed the connection.
+    #[snafu(display("connection closed by the remote end"))]
     Closed,
-    /// The socket failed.
-    #[snafu(display("the connection failed: {source}"))]
+    /// An I/O operation failed.
+    #[snafu(display("connection failed: {source}"))]
     Io {
-        /// Cause reported by the system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The bytes are no frame.
+    /// The received bytes are not a valid frame.
     #[snafu(display("{source}"), context(false))]
     Malformed {
-        /// Cause reported by the framing.
+        /// Error of the framing.
         source: FrameError,
     },
 }
 
-/// Connection whose input is split into frames.
+/// TCP connection whose input is split into frames.
 #[derive(Debug)]
 pub struct FramedSocket {
     stream: TcpStream,
@@ -41,31 +41,31 @@
 }
 
 impl FramedSocket {
-    /// Wraps a stream; frames above `limit` bytes are refused.
+    /// Wraps a stream; a frame above `max_frame_bytes` is an error.
     pub fn new(stream: TcpStream, max_frame_bytes: usize) -> Self {
         let _ = stream.set_nodelay(true);
         Self { stream, input: BytesMut::new(), max_frame_bytes }
     }
 
-    /// Returns the bytes read and not yet taken.
+    /// Returns the buffer of bytes that are read but not consumed.
     pub fn input(&mut self) -> &mut BytesMut {
         &mut self.input
     }
 
-    /// Splits off a frame that has been read whole.
+    /// Splits off the next frame. Returns `None` if it is incomplete.
     pub fn take_frame(&mut self) -> Result<Option<RawFrame>, SocketError> {
         Ok(frame::split_frame(&mut self.input, self.max_frame_bytes)?)
     }
 
-    /// Returns the header of the next frame, whole or not.
+    /// Returns the header of the next frame, whose body may be incomplete.
     pub fn peek_header(&self) -> Result<Option<FrameHeader>, SocketError> {
         Ok(frame::peek_header(&self.input, self.max_frame_bytes)?)
     }
 
-    /// Reads at least one byte.
+    /// Waits for input and appends at least one byte to the buffer.
     pub async fn fill(&mut self) -> Result<(), SocketError> {
         if self.input.is_empty() {
-            // An idle connection must not hold a buffer.
+            // Frees the allocation, so that an idle connection holds no buffer.
             self.input = BytesMut::new();
         }
         loop {
@@ -79,10 +79,10 @@
         }
     }
 
-    /// Reads what is there, up to one piece.
+    /// Reads the available bytes, up to `MAX_READ_BYTES`.
     ///
-    /// A short read empties the socket, so it is reported to the runtime as one that would block:
-    /// otherwise the next wait begins with a read that finds nothing.
+    /// A short read has emptied the socket, so it is reported to the runtime as `WouldBlock`.
+    /// Otherwise the next wait would start with a system call that reads nothing.
     fn read_available(&mut self) -> io::Result<usize> {
         let mut buffer = [0; MAX_READ_BYTES];
         let mut short_read = 0;
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Closes the sending side after everything written was sent.
+    /// Shuts down the write half once all written bytes are sent.
     pub async fn shutdown(&mut self) {
         let _ = self.stream.shutdown().await;
     }
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -1,4 +1,4 @@
-//! Documents in the platform's services: a head row for each environment, bodies as objects.
+//! Storage of documents in the platform services: a head row per environment, bodies as objects.
 
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt as _, ResultExt as _, Snafu};
@@ -7,30 +7,30 @@
 
 use crate::platform::{ObjectStore, PlatformError, TableService};
 
-/// Errors of the document store.
+/// Error of the document store.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
-    /// The platform's service failed.
+    /// An operation on a platform service failed.
     #[snafu(display("{source}"), context(false))]
     Platform {
-        /// Cause reported by the service.
+        /// Error of the operation.
         source: PlatformError,
     },
-    /// A row cannot be read.
+    /// A row cannot be decoded or encoded.
     #[snafu(display("row {key} is malformed: {source}"))]
     MalformedRow {
         /// Key of the row.
         key: String,
-        /// Cause reported by the JSON reader.
+        /// Error of the JSON codec.
         source: serde_json::Error,
     },
-    /// The platform's service took too long.
-    #[snafu(display("no answer from the platform's service within {} ms", limit.as_millis()))]
+    /// A platform service did not respond in time.
+    #[snafu(display("no response from platform service within {} ms", limit.as_millis()))]
     Timeout {
-        /// Time that was waited.
+        /// Timeout of the operation.
         limit: std::time::Duration,
     },
-    /// A body is missing or does not match its digest.
+    /// A document body is missing or does not match its digest.
     #[snafu(display("document body {digest} is missing or damaged"))]
     MissingBody {
         /// Digest of the body.
@@ -38,20 +38,20 @@
     },
 }
 
-/// Revision in force in one environment.
+/// Head row of an environment: the revision of its document that is in force.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct DocumentHead {
     /// Revision, counted from 1.
     pub revision: u64,
     /// Digest of the document's bytes.
     pub digest: String,
-    /// Identifier of the request that made the revision.
+    /// Identifier of the request that created the revision.
     pub request: String,
-    /// Operator who made the revision.
+    /// Operator who created the revision.
     pub operator: String,
 }
 
-/// Document with its head.
+/// Document together with its head.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredDocument {
     /// Head of the revision.
@@ -60,16 +60,16 @@
     pub text: String,
 }
 
-/// Answer to an attempt to replace a document.
+/// Outcome of an attempt to replace a document.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReplaceOutcome {
-    /// The document is accepted under this head.
+    /// The document is in force with this head.
     Accepted(DocumentHead),
-    /// Another revision is in force.
+    /// Another revision than the expected one is in force.
     Conflict(DocumentHead),
 }
 
-/// Reads and replaces documents.
+/// Reads and replaces the documents of one environment.
 pub struct DocumentStore<'a, P> {
     platform: &'a P,
     environment: &'a str,
@@ -81,12 +81,12 @@
         Self { platform, environment }
     }
 
-    /// Reads the head in force, or none before the first document.
+    /// Reads the current head. Returns `None` before the first document.
     pub async fn head(&self) -> Result<Option<DocumentHead>, StoreError> {
         Ok(self.head_row().await?.map(|(head, _)| head))
     }
 
-    /// Reads the document of a head.
+    /// Reads the document body of a head and verifies its digest.
     pub async fn body(&self, head: &DocumentHead) -> Result<String, StoreError> {
         let digest = &head.digest;
         let bytes = self.platform.get(object_name(digest)).await?;
@@ -95,7 +95,7 @@
         text.context(MissingBodySnafu { digest })
     }
 
-    /// Reads the document in force.
+    /// Reads the document in force. Returns `None` before the first document.
     pub async fn current(&self) -> Result<Option<StoredDocument>, StoreError> {
         let Some(head) = self.head().await? else {
             return Ok(None);
@@ -104,15 +104,15 @@
         Ok(Some(StoredDocument { head, text }))
     }
 
-    /// Tells whether a document of this digest was ever in force in the environment.
+    /// Returns whether a document with this digest has ever been in force in the environment.
     pub async fn was_in_force(&self, digest: &str) -> Result<bool, StoreError> {
         Ok(self.platform.row(self.history_key(digest)).await?.is_some())
     }
 
-    /// Replaces the revision `expected`; zero stands for none.
+    /// Replaces the document if its revision is `expected_revision`, zero for no document.
     ///
-    /// A request that was carried out before is answered with the head it made, so a caller whose
-    /// answer was lost repeats it safely.
+    /// The operation is idempotent: a `request` that took effect before returns the head that it
+    /// created, so a caller may repeat it after a lost response.
     pub async fn replace(
         &self,
         expected_revision: u64,
@@ -141,7 +141,7 @@
         match self.platform.transact(transaction).await {
             Ok(TransactionReply::Applied { .. }) => Ok(ReplaceOutcome::Accepted(head)),
             Ok(TransactionReply::Conflict { .. }) => self.resolve_conflict(request).await,
-            // The write may have taken effect; its request row tells.
+            // The write may have taken effect; the row of the request resolves the outcome.
             Err(error) => match self.request_head(request).await? {
                 Some(head) => Ok(ReplaceOutcome::Accepted(head)),
                 None => Err(error.into()),
@@ -202,14 +202,14 @@
     }
 }
 
-/// Head and epoch as one read finds them.
+/// Head and epoch of an environment, read in one scan.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EnvironmentSnapshot {
-    /// Head of the document in force.
+    /// Head of the document in force, if any.
     pub head: Option<DocumentHead>,
-    /// Epoch of the allotment ledger.
+    /// Current epoch of the allotment ledger, if any.
     pub epoch: Option<LedgerEpoch>,
-    /// Table revision of the epoch's row, zero if it is absent.
+    /// Table revision of the epoch row, zero if the row is absent.
     pub epoch_row_revision: u64,
 }
 
@@ -218,12 +218,12 @@
 pub struct LedgerEpoch {
     /// Number of the epoch, counted from 1.
     pub number: u64,
-    /// Incarnation of the instance that issues what nobody reports.
+    /// Incarnation of the instance that issues the shares which no instance reports.
     pub issuer: u64,
 }
 
 impl<P: TableService + ObjectStore> DocumentStore<'_, P> {
-    /// Reads head and epoch together.
+    /// Reads head and epoch in one scan.
     pub async fn snapshot(&self) -> Result<EnvironmentSnapshot, StoreError> {
         let prefix = current_prefix(self.environment);
         let mut snapshot = EnvironmentSnapshot::default();
@@ -242,7 +242,9 @@
         Ok(snapshot)
     }
 
-    /// Starts an epoch if the row still has revision `row`; false if another instance was first.
+    /// Starts an epoch if the epoch row still has revision `row_revision`.
+    ///
+    /// Returns false if another instance has started one first.
     pub async fn start_epoch(
         &self,
         row_revision: u64,
@@ -258,11 +260,11 @@
         if let Ok(TransactionReply::Applied { .. }) = reply {
             return Ok(true);
         }
-        // A lost answer or a conflict is settled by reading back who issues the epoch.
+        // After a lost response or a conflict the stored epoch shows whether this write succeeded.
         Ok(self.snapshot().await?.epoch.as_ref() == Some(epoch))
     }
 
-    /// Records a finished promotion, unless a higher term is recorded.
+    /// Records a finished promotion, unless the same or a higher term is recorded already.
     pub async fn record_primary(
         &self,
         database: &str,
@@ -291,14 +293,14 @@
     }
 }
 
-/// Record of the last promotion of a database.
+/// Row with the last promotion of a database.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PrimaryRecord {
     /// Term of the primary.
     pub term: u64,
     /// Logical name of the primary.
     pub primary: String,
-    /// Instance that promoted it.
+    /// Name of the instance that promoted it.
     pub instance: String,
 }
 
--- a/crates/telemetry/src/event.rs
+++ b/crates/telemetry/src/event.rs
@@ -1,4 +1,4 @@
-//! Catalogue of log events; docs/EVENTS.md lists the same numbers.
+//! Catalogue of numbered log events, which docs/EVENTS.md lists too.
 
 use std::fmt;
 
@@ -14,7 +14,7 @@
         }
 
         impl LogEvent {
-            /// Every event in the order of its number.
+            /// All events, in order of their numbers.
             pub const ALL: &[Self] = &[$(Self::$name,)*];
 
             /// Returns the level at which the event is logged.
@@ -31,27 +31,27 @@
 }
 
 event_catalogue! {
-    /// A program started with the settings shown.
+    /// A program started.
     ProgramStarted = 1001, Info, "program_started";
-    /// A program is about to end.
+    /// A program finished without an error.
     ProgramStopped = 1002, Info, "program_stopped";
-    /// A program ends because of an error.
+    /// A program ends with an error.
     ProgramFailed = 1003, Error, "program_failed";
-    /// The settings file was read again.
+    /// The settings file was reloaded.
     SettingsReloaded = 1004, Info, "settings_reloaded";
-    /// Log lines were left out to bound their volume.
+    /// Log lines were dropped by the rate limit or because the reader of the log stalled.
     LinesDropped = 1005, Warn, "lines_left_out";
     /// A document came into force on this instance.
     DocumentInForce = 1101, Info, "document_in_force";
-    /// A document was refused by this instance.
+    /// This instance rejected a document as invalid.
     DocumentRefused = 1102, Error, "document_refused";
-    /// The instance cannot tell whether its document is still in force.
+    /// The validation of the document has expired: a newer one may be in force.
     DocumentValidationExpired = 1103, Warn, "document_unconfirmed";
-    /// The instance can tell again whether its document is in force.
+    /// The document is validated again after its validation had expired.
     DocumentValidationRestored = 1104, Info, "document_confirmed";
     /// An operator's document was accepted.
     DocumentAccepted = 1105, Info, "document_accepted";
-    /// An operator's document lost a race.
+    /// An operator's document was refused because another revision is in force.
     DocumentConflict = 1106, Warn, "document_conflict";
     /// A caller's connection opened.
     SessionOpened = 2001, Debug, "session_opened";
@@ -59,51 +59,51 @@
     SessionClosed = 2002, Debug, "session_closed";
     /// A request was refused.
     RequestRefused = 2003, Info, "request_refused";
-    /// A request is tried again.
+    /// A request is retried.
     RequestRetried = 2004, Info, "request_retried";
-    /// The outcome of a request whose answer was lost is known.
+    /// The in-doubt outcome of a request was resolved after its response was lost.
     OutcomeResolved = 2005, Info, "outcome_settled";
-    /// An answer was dropped because its position does not cover the session.
+    /// A response was discarded because its position is behind the session's.
     AnswerStale = 2006, Warn, "answer_stale";
     /// The connection that carried a request was lost.
     ExchangeLost = 2007, Info, "exchange_lost";
-    /// A caller's session was not opened.
+    /// A caller's connection was refused before its session opened.
     CallerRefused = 2008, Info, "caller_refused";
-    /// An open transaction rested for too long and was rolled back.
+    /// An open transaction exceeded the idle timeout and was rolled back.
     TransactionExpired = 2009, Info, "transaction_expired";
-    /// A member no longer answers this instance.
+    /// A member stopped responding to this instance.
     MemberLost = 3001, Warn, "member_lost";
-    /// A member answers this instance again.
+    /// A member responds to this instance again.
     MemberFound = 3002, Info, "member_found";
     /// A database has a new primary.
     PrimaryChanged = 3003, Info, "primary_changed";
-    /// This instance starts a promotion.
+    /// This instance started a promotion.
     PromotionStarted = 3004, Warn, "promotion_started";
-    /// A promotion of this instance ended.
+    /// A promotion by this instance ended.
     PromotionEnded = 3005, Warn, "promotion_ended";
-    /// A member was told to follow the primary.
+    /// A member was instructed to follow the primary.
     MemberFollows = 3006, Info, "member_follows";
-    /// An endpoint was registered or its registration changed.
+    /// An endpoint was registered, or its registration changed.
     EndpointListed = 3007, Info, "endpoint_listed";
-    /// An endpoint's registration vanished or cannot be used.
+    /// An endpoint's registration was removed or is invalid.
     EndpointUnlisted = 3008, Info, "endpoint_unlisted";
-    /// The platform's service does not answer.
+    /// A platform service stopped responding.
     PlatformLost = 4001, Warn, "platform_lost";
-    /// The platform's service answers again.
+    /// A platform service responds again.
     PlatformFound = 4002, Info, "platform_found";
-    /// Another instance became reachable or changed.
+    /// Another instance became reachable, or its record changed.
     PeerFound = 5001, Info, "peer_found";
-    /// Another instance is gone.
+    /// A connection to another instance failed, or the instance is no longer listed.
     PeerLost = 5002, Warn, "peer_lost";
-    /// An allotment ledger was counted anew.
+    /// The allotment ledger was reconciled and a new epoch started.
     LedgerReconciled = 5003, Info, "ledger_counted";
-    /// An instance that could not be reached for long is no longer counted.
+    /// An instance was unreachable for the whole grace period and was removed.
     PeerExpired = 5004, Info, "peer_forgotten";
-    /// This instance took or lost the duty to promote.
+    /// This instance acquired or lost the promotion lease.
     PromotionLeaseChanged = 5005, Info, "duty_changed";
-    /// A step towards the duty to promote failed.
+    /// Reading, writing, keeping or releasing the promotion lease failed.
     PromotionLeaseFailed = 5006, Warn, "duty_refused";
-    /// The instance starts to drain.
+    /// The instance started to drain.
     DrainStarted = 6001, Info, "drain_started";
     /// The instance has drained or reached its drain deadline.
     DrainEnded = 6002, Info, "drain_ended";
@@ -115,7 +115,7 @@
     }
 }
 
-/// Logs a numbered event with a formatted explanation.
+/// Logs a numbered event with a formatted message at the event's level.
 #[macro_export]
 macro_rules! log_event {
     ($event:expr, $($argument:tt)+) => {{
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logging as numbered events, metrics and the settings that all programs share.
+//! Numbered log events, metrics, and the startup and settings shared by all programs.
 
 pub use log;
 
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -1,4 +1,4 @@
-//! Settings of logging and its start.
+//! Settings and initialization of logging.
 
 use clap::{Args, ValueEnum};
 use log::LevelFilter;
@@ -13,10 +13,10 @@
 
 use crate::stdout::StdoutAppender;
 
-/// Line layout of the plain format.
+/// Layout of lines in the plain format.
 const PLAIN_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {t} {m}{n}";
 
-/// Error of starting the log.
+/// Error on initializing the logger.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot start logging: {message}"))]
 pub struct LoggingError {
@@ -27,20 +27,20 @@
 /// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, ValueEnum)]
 pub enum LogFormat {
-    /// One line of text for each event.
+    /// One line of text per event.
     #[default]
     Plain,
-    /// One JSON object for each event.
+    /// One JSON object per event.
     Json,
 }
 
-/// Stream to which log lines go.
+/// Output stream of log lines.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, ValueEnum)]
 pub enum LogTarget {
     /// Standard error.
     #[default]
     Stderr,
-    /// Standard output, bounded and never waiting for its reader.
+    /// Standard output, rate-limited and non-blocking.
     Stdout,
 }
 
@@ -53,7 +53,7 @@
     /// Format of log lines.
     #[arg(long, env = "HIBISCUS_LOG_FORMAT", default_value = "plain")]
     pub log_format: LogFormat,
-    /// Stream to which log lines go.
+    /// Output stream of log lines.
     #[arg(long, env = "HIBISCUS_LOG_TARGET", default_value = "stderr")]
     pub log_target: LogTarget,
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Starts logging; log lines go to the stream of the settings.
+/// Initializes the global logger with the format, level and stream of the settings.
 pub fn start(settings: &LoggingSettings) -> Result<(), LoggingError> {
     let encoder: Box<dyn Encode> = match settings.log_format {
         LogFormat::Plain => Box::new(PatternEncoder::new(PLAIN_PATTERN)),
--- a/crates/telemetry/src/program.rs
+++ b/crates/telemetry/src/program.rs
@@ -1,4 +1,4 @@
-//! Start and end that all programs share.
+//! Startup, shutdown and exit codes shared by all programs.
 
 use std::fmt::Display;
 use std::process::ExitCode;
@@ -7,10 +7,12 @@
 use crate::log_event;
 use crate::logging::{self, LoggingSettings};
 
-/// Exit status of a program whose settings are wrong.
+/// Exit code of a program with invalid settings.
 pub const SETTINGS_EXIT_CODE: u8 = 2;
 
-/// Starts logging and says which program runs; an error ends the program.
+/// Initializes logging and logs the start of the program.
+///
+/// Returns the exit code for the process if logging cannot be initialized.
 pub fn begin(name: &str, settings: &LoggingSettings) -> Result<(), ExitCode> {
     if let Err(error) = logging::start(settings) {
         eprintln!("{name}: {error}");
@@ -20,7 +22,7 @@
     Ok(())
 }
 
-/// Turns the result of a program into its exit status.
+/// Logs the result of a program and returns its exit code.
 pub fn end<E: Display>(name: &str, result: Result<(), E>) -> ExitCode {
     match result {
         Ok(()) => {
@@ -34,7 +36,7 @@
     }
 }
 
-/// Waits for SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT. Never returns if the signal handlers cannot be installed.
 pub async fn shutdown_signal() {
     use tokio::signal::unix::{SignalKind, signal};
     let (Ok(mut terminate), Ok(mut interrupt)) =
--- a/crates/telemetry/src/stdout.rs
+++ b/crates/telemetry/src/stdout.rs
@@ -1,4 +1,4 @@
-//! Log appender that never blocks and bounds the volume: what is left out is counted.
+//! Log appender for standard output that never blocks, limits the rate and counts dropped lines.
 
 use std::fmt;
 use std::io::ErrorKind;
@@ -13,14 +13,14 @@
 
 use crate::event::LogEvent;
 
-/// Lines a second that are written in the long run.
+/// Sustained rate of lines per second.
 const MAX_LINES_PER_SECOND: f64 = 60.0;
-/// Lines that are written at once after a quiet time.
+/// Lines that may be written in one burst after an idle period.
 const MAX_BURST_LINES: f64 = 400.0;
-/// Time between lines that tell how many were left out.
+/// Interval between reports of dropped lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Budget of lines.
+/// Token bucket that limits the rate of log lines.
 #[derive(Debug)]
 pub struct LineLimiter {
     available_lines: f64,
@@ -30,12 +30,12 @@
 }
 
 impl LineLimiter {
-    /// Creates a full budget.
+    /// Creates a limiter with a full bucket.
     pub fn new(now: Instant) -> Self {
         Self { available_lines: MAX_BURST_LINES, refilled_at: now, dropped: 0, reported_at: now }
     }
 
-    /// Takes a line; false if it must be left out.
+    /// Takes a token for one line. Returns false if the line must be dropped.
     pub fn try_acquire(&mut self, now: Instant) -> bool {
         let refilled =
             now.saturating_duration_since(self.refilled_at).as_secs_f64() * MAX_LINES_PER_SECOND;
@@ -49,12 +49,12 @@
         true
     }
 
-    /// Counts a line that could not be written.
+    /// Counts a line that was allowed but could not be written.
     pub fn record_dropped(&mut self) {
         self.dropped += 1;
     }
 
-    /// Returns how many lines were left out since the last report, if it is time to tell.
+    /// Returns and resets the number of dropped lines, or `None` if no report is due.
     pub fn take_dropped_count(&mut self, now: Instant) -> Option<u64> {
         if self.dropped == 0 || now.saturating_duration_since(self.reported_at) < REPORT_INTERVAL {
             return None;
@@ -64,21 +64,21 @@
     }
 }
 
-/// Appender to standard output.
+/// Appender that writes log lines to standard output.
 pub struct StdoutAppender {
     encoder: Box<dyn Encode>,
     limiter: Mutex<LineLimiter>,
 }
 
 impl StdoutAppender {
-    /// Creates an appender and makes standard output refuse what its reader does not take.
+    /// Creates an appender and switches standard output to non-blocking mode.
     pub fn new(encoder: Box<dyn Encode>) -> Self {
         let output = rustix::stdio::stdout();
         let nonblocking =
             fcntl_getfl(output).and_then(|flags| fcntl_setfl(output, flags | OFlags::NONBLOCK));
         if let Err(error) = nonblocking {
-            // Lines are still bounded; only a reader that stalls can hold the process up.
-            eprintln!("standard output stays blocking: {error}");
+            // The rate limit still applies, but a stalled reader can block the process.
+            eprintln!("cannot make standard output non-blocking: {error}");
         }
         Self { encoder, limiter: Mutex::new(LineLimiter::new(Instant::now())) }
     }
@@ -96,7 +96,7 @@
 
 impl fmt::Debug for StdoutAppender {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.debug_struct("BoundedAppender").finish_non_exhaustive()
+        formatter.debug_struct("StdoutAppender").finish_non_exhaustive()
     }
 }
 
--- a/crates/telemetry/tests/catalogue.rs
+++ b/crates/telemetry/tests/catalogue.rs
@@ -1,11 +1,11 @@
-//! The page of log events lists exactly what the code logs.
+//! Compares docs/EVENTS.md with the catalogue of log events.
 
 use telemetry::event::LogEvent;
 
 #[test]
 fn events_page_lists_every_event() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/EVENTS.md");
-    let page = std::fs::read_to_string(path).expect("the page is there");
+    let page = std::fs::read_to_string(path).expect("docs/EVENTS.md is readable");
     let rows: Vec<&str> = page.lines().filter(|line| line.starts_with("| HB")).collect();
     assert_eq!(rows.len(), LogEvent::ALL.len());
     for event in LogEvent::ALL {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,45 +1,45 @@
-//! Framing of PostgreSQL messages: a tag byte, a 32-bit length that counts itself, a body.
+//! Framing of PostgreSQL messages: a tag byte, a 32-bit length that includes itself, and a body.
 
 use bytes::{Buf as _, BytesMut};
 use snafu::{Snafu, ensure};
 
-/// Length of a tag and a length field in bytes.
+/// Length of the tag and the length field in bytes.
 pub const HEADER_BYTES: usize = 5;
 
-/// Errors of splitting a byte stream into frames.
+/// Error in the framing of a byte stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum FrameError {
-    /// The length field is smaller than itself.
+    /// The length is below the size of the length field.
     #[snafu(display("frame length {length} is below 4"))]
     LengthTooSmall {
-        /// Length found.
+        /// Length in the frame, in bytes.
         length: usize,
     },
     /// The frame is larger than the receiver accepts.
     #[snafu(display("frame of {length} bytes exceeds the limit of {limit}"))]
     TooLarge {
-        /// Length found.
+        /// Length in the frame, in bytes.
         length: usize,
-        /// Largest accepted length.
+        /// Largest accepted length in bytes.
         limit: usize,
     },
 }
 
-/// Tag and total length of a frame, header included.
+/// Tag and total length of a frame.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FrameHeader {
-    /// Tag byte that names the message type.
+    /// Tag byte that identifies the message type.
     pub tag: u8,
-    /// Length of the whole frame in bytes.
+    /// Length of the frame in bytes, header included.
     pub total_bytes: usize,
 }
 
-/// Message whose body has not been decoded.
+/// Complete frame whose body is not decoded.
 #[derive(Clone, Debug)]
 pub struct RawFrame {
-    /// Tag byte that names the message type.
+    /// Tag byte that identifies the message type.
     pub tag: u8,
-    /// Bytes of the whole frame, header included.
+    /// Bytes of the frame, header included.
     pub bytes: BytesMut,
 }
 
@@ -50,7 +50,9 @@
     }
 }
 
-/// Reads the header at the start of `bytes`, or none if it is not complete.
+/// Reads the header at the start of `bytes`. Returns `None` if it is incomplete.
+///
+/// Fails if the length field is invalid or above `limit` bytes.
 pub fn peek_header(bytes: &[u8], limit: usize) -> Result<Option<FrameHeader>, FrameError> {
     let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else {
         return Ok(None);
@@ -62,7 +64,9 @@
     Ok(Some(FrameHeader { tag: header[0], total_bytes: length + 1 }))
 }
 
-/// Splits one complete frame off the front of `buffer`, or returns none until it is complete.
+/// Splits a frame off the front of `buffer`. Returns `None` if it is incomplete.
+///
+/// Fails if the length field is invalid or above `limit` bytes.
 pub fn split_frame(buffer: &mut BytesMut, limit: usize) -> Result<Option<RawFrame>, FrameError> {
     let Some(header) = peek_header(buffer, limit)? else {
         return Ok(None);
--- a/crates/wire/src/frontend.rs
+++ b/crates/wire/src/frontend.rs
@@ -1,4 +1,4 @@
-//! Fields of caller messages that the proxy reads or replaces; everything else passes as bytes.
+//! Messages from a PostgreSQL client to its server, as far as the proxy reads or rewrites them.
 
 use bytes::{BufMut as _, BytesMut};
 use snafu::{OptionExt as _, Snafu};
@@ -26,39 +26,39 @@
 /// Tag of a password message.
 pub const PASSWORD: u8 = b'p';
 
-/// Error of reading a caller message.
+/// Error on a message with a malformed field.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display("the {field} of a message of type {tag:?} is malformed", tag = char::from(*tag)))]
 pub struct FieldError {
     /// Tag of the message.
     pub tag: u8,
-    /// Field that could not be read.
+    /// Name of the malformed field.
     pub field: &'static str,
 }
 
-/// Parse message.
+/// Fields of a parse message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ParseFields<'a> {
-    /// Name of the statement, empty for the unnamed one.
+    /// Name of the prepared statement, empty for the unnamed one.
     pub name: &'a str,
-    /// Statement text.
+    /// Text of the statement.
     pub query: &'a str,
-    /// Parameter types as they stand in the message.
+    /// Encoded number and types of the parameters.
     pub parameter_types: &'a [u8],
 }
 
-/// Bind message.
+/// Fields of a bind message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BindFields<'a> {
-    /// Name of the portal.
+    /// Name of the portal, empty for the unnamed one.
     pub portal: &'a str,
-    /// Name of the statement.
+    /// Name of the prepared statement, empty for the unnamed one.
     pub statement: &'a str,
-    /// Formats and parameter values as they stand in the message.
+    /// Encoded parameter formats, parameter values and result formats.
     pub values: &'a [u8],
 }
 
-/// Object that a describe or close message names.
+/// Kind of object that a describe or close message refers to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ObjectKind {
     /// Prepared statement.
@@ -67,7 +67,7 @@
     Portal,
 }
 
-/// Describe or close message.
+/// Fields of a describe or close message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ObjectFields<'a> {
     /// Kind of the object.
@@ -145,7 +145,7 @@
     });
 }
 
-/// Writes a message without a body.
+/// Writes a message with an empty body.
 pub fn put_empty(buffer: &mut BytesMut, tag: u8) {
     put_frame(buffer, tag, |_| {});
 }
--- a/crates/wire/src/group.rs
+++ b/crates/wire/src/group.rs
@@ -1,32 +1,34 @@
-//! Commands that a database group understands besides SQL, and where its answers carry positions.
+//! Commands, parameters and SQLSTATEs that members of a database group use besides SQL.
 
 use std::fmt;
 
-/// Parameter status under which a member reports its position.
+/// Name of the parameter status in which a member reports its log position.
 pub const POSITION_PARAMETER: &str = "group.position";
-/// SQLSTATE by which a member says that it did not run a statement because it is not the primary.
+/// SQLSTATE of a statement that a member did not run because it is not the primary.
 pub const NOT_PRIMARY: &str = "25006";
-/// SQLSTATE by which a member refuses a group command of a term that is not new.
+/// SQLSTATE of a group command that a member refused because its term is stale.
 pub const STALE_TERM: &str = "55000";
-/// SQLSTATE by which a member refuses a connection over its limit.
+/// SQLSTATE of a connection that a member refused because it has reached its limit.
 pub const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// Command of the group protocol, sent as a simple query.
+/// Command of the group protocol, sent as the text of a simple query.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum GroupCommand {
-    /// Answers one row with the member's status.
+    /// Returns one row with the member's status.
     Status,
-    /// Waits until a majority holds everything this member committed, in its own term.
+    /// Waits until a majority has everything that this member committed in its own term.
+    ///
+    /// Success confirms that the member was still the leader.
     Confirm,
-    /// Labels the next transaction of the connection, so that its outcome can be asked for.
+    /// Labels the next transaction of the connection, so that its outcome can be resolved later.
     Label(String),
-    /// Answers whether a labelled transaction stands in the log.
+    /// Returns whether a labelled transaction is in the log.
     Outcome(String),
-    /// Refuses writes and replication of lower terms from now on.
+    /// Fences off lower terms: their writes and replication are refused from now on.
     Fence(u64),
-    /// Becomes the primary of a term.
+    /// Makes the member the primary of a term.
     Promote(u64),
-    /// Follows the primary of a term.
+    /// Makes the member replicate from the primary of a term.
     Follow {
         /// Term of the primary.
         term: u64,
@@ -52,7 +54,7 @@
 }
 
 impl GroupCommand {
-    /// Reads a command, or none if `text` is ordinary SQL.
+    /// Parses a command. Returns `None` if `text` is ordinary SQL.
     pub fn parse(text: &str) -> Option<Self> {
         if text == "SHOW group.status" {
             return Some(Self::Status);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Protocol layer: PostgreSQL frames and messages, statement classes, refusals and group commands.
+//! Protocols: PostgreSQL messages, peer and platform messages, SQL classification and refusals.
 
 pub mod backend;
 pub mod frame;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between instances, generated from `proto/peer.proto` by the codegen program.
+//! gRPC service between instances, generated from `proto/peer.proto` by the codegen program.
 
 #![allow(missing_docs, clippy::all)]
 
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of the platform's services, carried as JSON over HTTP.
+//! JSON messages of the platform's HTTP services: table service and instance list.
 
 use std::net::SocketAddr;
 
@@ -11,72 +11,72 @@
     pub key: String,
     /// Value of the row.
     pub value: String,
-    /// Revision at which the row was written last.
+    /// Revision of the last write to the row.
     pub revision: u64,
 }
 
-/// Condition of a transaction.
+/// Precondition of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RowCheck {
     /// Key of the row.
     pub key: String,
-    /// Revision that the row must have; zero means that it must be absent.
+    /// Expected revision of the row; zero if the row must be absent.
     pub revision: u64,
 }
 
-/// Write of a transaction.
+/// Write in a transaction.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RowWrite {
     /// Key of the row.
     pub key: String,
-    /// New value; none deletes the row.
+    /// New value; `None` deletes the row.
     pub value: Option<String>,
 }
 
-/// Transaction on the table service: all checks hold and all writes happen, or none.
+/// Transaction on the table service, which applies all writes if all checks hold, else none.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct TableTransaction {
-    /// Conditions.
+    /// Preconditions.
     pub checks: Vec<RowCheck>,
     /// Writes.
     pub writes: Vec<RowWrite>,
 }
 
-/// Answer to a transaction.
+/// Reply to a transaction.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "lowercase")]
 pub enum TransactionReply {
-    /// Every check held and the writes took effect.
+    /// All checks held and the writes took effect.
     Applied {
         /// Revision of the written rows.
         revision: u64,
     },
-    /// Some check did not hold.
+    /// At least one check failed and no write took effect.
     Conflict {
-        /// Rows that differ from their check, as they are now.
+        /// Current rows whose revision differs from the expected one.
         rows: Vec<TableRow>,
     },
 }
 
-/// State of an instance in the platform's list.
+/// State of an instance in the platform's instance list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceState {
-    /// Serves or starts.
+    /// Starting or serving.
     Live,
-    /// Is about to be stopped.
+    /// About to be stopped.
     Leaving,
 }
 
-/// Instance in the platform's list.
+/// Entry of the platform's instance list.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct InstanceRecord {
     /// Name of the instance.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Address for peers.
+    /// Address of the peer service.
     pub peer: SocketAddr,
-    /// State as the platform last saw it.
+    /// State that the platform last observed.
     pub state: InstanceState,
 }
--- a/crates/wire/src/refusal.rs
+++ b/crates/wire/src/refusal.rs
@@ -1,21 +1,21 @@
-//! Reasons for refusing a request, each with its SQLSTATE and what it says of the request.
+//! Reasons for refusing a request, each with its SQLSTATE and the outcome it reports.
 
 use std::fmt;
 use std::time::Duration;
 
-/// What a refusal says about the refused request.
+/// Outcome of a refused request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestOutcome {
-    /// The request did not run.
+    /// The request did not run, so a retry is safe.
     NotRun,
     /// The request ran and its effects were rolled back.
     Failed,
-    /// The request may have run.
+    /// The request may have run; its response was lost.
     Unknown,
 }
 
 impl RequestOutcome {
-    /// Returns the words used towards callers.
+    /// Returns the text that error messages to callers start with.
     pub fn text(self) -> &'static str {
         match self {
             Self::NotRun => "not run",
@@ -34,7 +34,7 @@
         }
 
         impl RefusalReason {
-            /// Every reason, in the order of the catalogue.
+            /// All reasons, in order of declaration.
             pub const ALL: &[Self] = &[$(Self::$name,)*];
 
             /// Returns the label used in metrics and logs.
@@ -47,7 +47,7 @@
                 match self { $(Self::$name => $state,)* }
             }
 
-            /// Returns what the refusal says about the request.
+            /// Returns the outcome that the refusal reports.
             pub fn outcome(self) -> RequestOutcome {
                 match self { $(Self::$name => RequestOutcome::$outcome,)* }
             }
@@ -56,51 +56,51 @@
 }
 
 refusal_reasons! {
-    /// The key is not one of the team's.
+    /// The key does not belong to the team.
     WrongKey => "wrong_key", "28P01", NotRun;
-    /// The team is not declared.
+    /// The document does not declare the team.
     UnknownTeam => "unknown_team", "28000", NotRun;
-    /// The key was withdrawn while the connection was open.
+    /// The key or its team was revoked while the connection was open.
     KeyRevoked => "key_withdrawn", "28000", NotRun;
-    /// The instance cannot tell whether the key is still in force.
+    /// The instance cannot validate its document, and with it the key, or its share of a rate.
     KeyNotValidated => "key_unconfirmed", "57P03", NotRun;
-    /// The database is not declared.
+    /// The document does not declare the database.
     UnknownDatabase => "unknown_database", "3D000", NotRun;
-    /// The team may not use the database.
+    /// The team has no access to the database.
     DatabaseDenied => "database_denied", "42501", NotRun;
-    /// A caller without a key used a route that is not open to all.
+    /// A caller without a key used a route that requires one.
     RouteClosed => "route_closed", "42501", NotRun;
-    /// The team is over its rate and burst.
+    /// The team exceeds its rate and burst.
     RateExceeded => "rate_exceeded", "53400", NotRun;
-    /// The queue before the database is full.
+    /// The queue for the database's connections is full.
     QueueFull => "queue_full", "53300", NotRun;
     /// The request could not start before its deadline.
     DeadlinePassed => "deadline_passed", "57014", NotRun;
     /// The database has no reachable primary.
     NoPrimary => "no_primary", "57P03", NotRun;
-    /// No configuration is in force on this instance yet.
+    /// The instance has no document in force yet.
     NoConfiguration => "no_configuration", "57P03", NotRun;
-    /// The database is leaving and takes no new work.
+    /// The database is leaving and accepts no new requests.
     DatabaseLeaving => "database_leaving", "57P03", NotRun;
-    /// The instance is stopping.
+    /// The instance is shutting down.
     Stopping => "stopping", "57P01", NotRun;
-    /// The statement needs a feature that the proxy does not offer.
+    /// The statement needs a feature that the proxy does not support.
     Unsupported => "unsupported", "0A000", NotRun;
     /// A message is malformed or out of order.
     ProtocolViolation => "protocol_violation", "08P01", NotRun;
-    /// A message is larger than the limit.
+    /// A message exceeds the size limit.
     MessageTooLarge => "message_too_large", "54000", NotRun;
-    /// The session token cannot be read.
+    /// The session token cannot be decoded.
     InvalidToken => "invalid_token", "22023", NotRun;
     /// Authentication did not finish in time.
     StartupTimeout => "startup_timeout", "57P05", NotRun;
-    /// The instance serves as many callers as it may.
+    /// The instance has reached its limit of caller connections.
     TooManyCallers => "too_many_callers", "53300", NotRun;
-    /// The transaction's connection was lost before its commit was sent.
+    /// The connection of the transaction was lost before the commit was sent.
     TransactionLost => "transaction_lost", "40001", Failed;
     /// The caller cancelled the statement before it started.
     Cancelled => "cancelled", "57014", NotRun;
-    /// The request was sent and its answer is lost.
+    /// The request was sent and its response was lost.
     OutcomeUnknown => "outcome_unknown", "08007", Unknown;
 }
 
@@ -109,19 +109,19 @@
 pub struct RequestRefusal {
     /// Reason for the refusal.
     pub reason: RefusalReason,
-    /// Explanation for the caller, free of keys and parameter values.
+    /// Explanation for the caller, without keys or parameter values.
     pub detail: String,
-    /// Time after which a retry may pass.
+    /// Delay after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl RequestRefusal {
-    /// Creates a refusal without a retry time.
+    /// Creates a refusal without a retry delay.
     pub fn new(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self { reason, detail: detail.into(), retry_after: None }
     }
 
-    /// Adds the time after which a retry may pass.
+    /// Sets the delay after which a retry may succeed.
     pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
--- a/crates/wire/src/statement.rs
+++ b/crates/wire/src/statement.rs
@@ -1,4 +1,4 @@
-//! Classes of SQL texts, found by `sqlparser` and kept in a bounded cache.
+//! Classification of SQL texts with `sqlparser`, and a bounded cache of the results.
 
 use std::collections::{BTreeSet, HashMap};
 use std::hash::{BuildHasher as _, RandomState};
@@ -12,13 +12,13 @@
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::parser::Parser;
 
-/// Number of independently locked parts of the cache.
+/// Number of independently locked cache shards.
 const CACHE_SHARDS: usize = 16;
-/// Texts kept in each generation of a shard.
+/// Maximum number of texts in one generation of a shard.
 const MAX_GENERATION_ENTRIES: usize = 512;
-/// Longest text that is cached or parsed, in bytes; longer ones count as writes.
+/// Length of the longest text that is parsed and cached, in bytes; longer ones count as writes.
 const MAX_PARSED_BYTES: usize = 64 * 1024;
-/// Functions without side effects whose result depends on the data and arguments alone.
+/// Functions without side effects whose result depends only on the data and the arguments.
 const PURE_FUNCTIONS: &[&str] = &[
     "abs",
     "array_agg",
@@ -67,41 +67,41 @@
     "current_database",
 ];
 
-/// What running a text does.
+/// Effect of a SQL text.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StatementKind {
-    /// Nothing: no statement stands in the text.
+    /// The text contains no statement.
     Empty,
-    /// Reads only.
+    /// Reads only, and may run on a replica.
     Read,
-    /// Writes, or cannot be classified.
+    /// Writes, or cannot be proved to be a read.
     Write,
     /// Begins a transaction.
     Begin,
-    /// Begins a transaction that only reads.
+    /// Begins a read-only transaction.
     BeginReadOnly,
     /// Commits the transaction.
     Commit,
     /// Rolls the transaction back.
     Rollback,
-    /// Works on a savepoint inside a transaction.
+    /// Sets, releases or rolls back to a savepoint.
     Savepoint,
-    /// Sets or shows a parameter of the session.
+    /// Sets, shows or resets a session parameter.
     Session,
-    /// Needs a feature that the proxy refuses.
+    /// Needs a feature that the proxy does not support.
     Unsupported,
-    /// Several statements, at least one of which controls a transaction.
+    /// Several statements that are not only reads and writes, such as a whole transaction.
     Mixed,
 }
 
-/// Parameter statement of a session.
+/// Statement on a session parameter.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SessionStatement {
     /// Sets a parameter.
     Set {
         /// Name of the parameter in lower case.
         name: String,
-        /// Value without quotes.
+        /// Unquoted value.
         value: String,
     },
     /// Shows a parameter.
@@ -109,27 +109,27 @@
         /// Name of the parameter in lower case.
         name: String,
     },
-    /// Resets a parameter, or all of them.
+    /// Resets a parameter or discards all session state.
     Reset,
 }
 
-/// Class of one SQL text.
+/// Classification of one SQL text.
 #[derive(Clone, Debug)]
 pub struct StatementClass {
-    /// What running the text does.
+    /// Effect of the text.
     pub kind: StatementKind,
     /// Number of statements in the text.
     pub statement_count: usize,
-    /// Tables that the text names, in lower case.
+    /// Tables that the text names, in lower case and without common table expressions.
     pub tables: Vec<String>,
-    /// Parameter statement, if the kind is `Session`.
+    /// Statement on a session parameter, if the kind is `Session`.
     pub session: Option<SessionStatement>,
-    /// Feature that is refused, if the kind is `Unsupported`.
+    /// Name of the unsupported feature, empty unless the kind is `Unsupported`.
     pub unsupported_feature: &'static str,
 }
 
 impl StatementClass {
-    /// Classifies `text` without a cache.
+    /// Classifies `text` without the cache.
     pub fn of(text: &str) -> Self {
         if text.len() > MAX_PARSED_BYTES {
             return Self::with_kind(StatementKind::Write, 1);
@@ -179,7 +179,7 @@
         Self::merge(&classes.iter().collect::<Vec<_>>())
     }
 
-    /// Returns the class of statements that run one after the other.
+    /// Returns the combined class of statements that run in sequence.
     pub fn merge(classes: &[&Self]) -> Self {
         let unsupported = classes.iter().find(|class| class.kind == StatementKind::Unsupported);
         if let Some(unsupported) = unsupported {
@@ -285,7 +285,7 @@
     value.to_string().trim_matches('\'').to_owned()
 }
 
-/// Collects table names and the names of common table expressions.
+/// Collects the names of relations and of common table expressions.
 #[derive(Default)]
 struct TableCollector {
     tables: BTreeSet<String>,
@@ -309,7 +309,7 @@
     }
 }
 
-/// Stops at the first part of a query that may write or that a replica may answer differently.
+/// Stops at the first part of a query that may write or give another result on a replica.
 #[derive(Default)]
 struct ReadOnlyCheck;
 
@@ -345,7 +345,7 @@
     }
 }
 
-/// One locked part of the cache; the older generation is dropped when the newer one is full.
+/// One locked shard; the older generation is dropped when the newer one is full.
 #[derive(Default)]
 struct CacheShard {
     newer: HashMap<Box<str>, Arc<StatementClass>>,
@@ -384,7 +384,7 @@
 }
 
 impl StatementCache {
-    /// Returns the class of `text`, parsing it at most once while it stays in use.
+    /// Returns the class of `text`, which is parsed only on a cache miss.
     pub fn classify(&self, text: &str) -> Arc<StatementClass> {
         let index = self.hasher.hash_one(text) as usize % CACHE_SHARDS;
         if let Some(class) = self.shards[index].lock().get(text) {
@@ -397,7 +397,7 @@
         class
     }
 
-    /// Returns the number of texts held.
+    /// Returns the number of cached texts.
     pub fn len(&self) -> usize {
         self.shards
             .iter()
@@ -408,7 +408,7 @@
             .sum()
     }
 
-    /// Tells whether no text is held.
+    /// Returns whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/wire/tests/messages.rs
+++ b/crates/wire/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Statement classes, frames and fields.
+//! Tests of SQL classification, group commands, framing and message fields.
 
 use bytes::BytesMut;
 use quickcheck::quickcheck;
@@ -7,7 +7,7 @@
 use wire::group::GroupCommand;
 use wire::statement::{StatementCache, StatementClass, StatementKind};
 
-/// Names each case of a rule.
+/// Generates one named test per input of a check function.
 macro_rules! test_cases {
     ($check:ident { $($name:ident: $input:expr;)* }) => {
         $(
