--- a/crates/net/src/member.rs
+++ b/crates/net/src/member.rs
@@ -261,7 +261,7 @@
         let mut output = BytesMut::new();
         frontend::put_query(&mut output, &command.to_string());
         self.send(&output).await?;
-        let response = timeout(limit, self.read_command_answer()).await;
+        let response = timeout(limit, self.read_command_response()).await;
         response.ok().context(TimeoutSnafu { limit })?
     }
 
@@ -272,7 +272,7 @@
     }
 
     /// Reads the response to a group command that is already sent.
-    pub async fn read_command_answer(&mut self) -> Result<String, MemberError> {
+    pub async fn read_command_response(&mut self) -> Result<String, MemberError> {
         let mut response = Err(MemberError::Protocol { expected: "a data row" });
         loop {
             let frame = self.next_frame().await?;
--- a/crates/proxy/src/session/exchange.rs
+++ b/crates/proxy/src/session/exchange.rs
@@ -188,7 +188,8 @@
 
     /// Reads the answer to a surrounding command; a refusal says that the primary was replaced.
     async fn command_answer(&mut self) -> Result<(), RelayError> {
-        let answer = timeout_at(self.deadline.into(), self.connection.read_command_answer()).await;
+        let answer =
+            timeout_at(self.deadline.into(), self.connection.read_command_response()).await;
         match answer {
             Ok(Ok(_)) => Ok(()),
             Ok(Err(error)) if error.is_not_primary() && !self.output.answered => {
--- a/crates/proxy/src/watcher.rs
+++ b/crates/proxy/src/watcher.rs
@@ -101,8 +101,8 @@
     frontend::put_query(&mut output, &GroupCommand::Status.to_string());
     frontend::put_query(&mut output, &GroupCommand::Confirm.to_string());
     connection.send(&output).await?;
-    let status = connection.read_command_answer().await?;
-    connection.read_command_answer().await?;
+    let status = connection.read_command_response().await?;
+    connection.read_command_response().await?;
     let status: MemberStatus =
         status.parse().map_err(|_| MemberError::Protocol { expected: "a status" })?;
     if status.position.role != MemberRole::Primary {
