--- a/crates/engine/src/node.rs
+++ b/crates/engine/src/node.rs
@@ -177,9 +177,9 @@
         let version = self.directory.borrow().document().version;
         let age = self.confirmation.borrow().validation_age(self.now());
         if confirmed {
-            log_event!(LogEvent::DocumentConfirmed, "version={version} proof_age={age:?}");
+            log_event!(LogEvent::DocumentValidationRestored, "version={version} proof_age={age:?}");
         } else {
-            log_event!(LogEvent::DocumentUnconfirmed, "version={version} proof_age={age:?}");
+            log_event!(LogEvent::DocumentValidationExpired, "version={version} proof_age={age:?}");
         }
     }
 
@@ -256,7 +256,7 @@
     pub fn set_duty(&self, token: Option<u64>) {
         if self.duty.replace(token) != token {
             self.announced.notify_waiters();
-            log_event!(LogEvent::DutyChanged, "token={token:?}");
+            log_event!(LogEvent::PromotionLeaseChanged, "token={token:?}");
         }
     }
 
--- a/crates/net/src/platform.rs
+++ b/crates/net/src/platform.rs
@@ -1,4 +1,4 @@
-//! Platform services: interfaces and their HTTP client.
+//! Interfaces of the platform services and their HTTP client.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,26 +10,26 @@
 use telemetry::meter;
 use wire::platform::{InstanceRecord, TableRow, TableTransaction, TransactionReply};
 
-/// Future of an interface's operation.
+/// Boxed future of a platform operation.
 pub type PlatformFuture<'a, T> =
     Pin<Box<dyn Future<Output = Result<T, PlatformError>> + Send + 'a>>;
 
-/// Errors of the platform's services.
+/// Error of a platform operation.
 #[derive(Debug, Snafu)]
 pub enum PlatformError {
-    /// The operation did not take effect.
-    #[snafu(display("the platform's service is down"))]
-    Down,
-    /// The operation may have taken effect.
-    #[snafu(display("no answer from the platform's service: {source}"))]
-    Unknown {
-        /// Cause reported by the HTTP client.
+    /// The service is unavailable and the operation did not take effect.
+    #[snafu(display("platform service unavailable"))]
+    Unavailable,
+    /// No valid response arrived, so the operation may have taken effect.
+    #[snafu(display("no response from platform service: {source}"))]
+    OutcomeUnknown {
+        /// Error of the HTTP client.
         source: reqwest::Error,
     },
-    /// The service answered with an unexpected status.
-    #[snafu(display("the platform's service answered {status}"))]
+    /// The service responded with an unexpected status.
+    #[snafu(display("unexpected status {status} from platform service"))]
     Status {
-        /// Status of the answer.
+        /// HTTP status of the response.
         status: StatusCode,
     },
 }
@@ -40,7 +40,7 @@
     fn transact(&self, transaction: TableTransaction) -> PlatformFuture<'_, TransactionReply>;
     /// Reads one row.
     fn row(&self, key: String) -> PlatformFuture<'_, Option<TableRow>>;
-    /// Reads the rows whose key starts with a prefix.
+    /// Reads all rows whose keys start with a prefix.
     fn scan(&self, prefix: String) -> PlatformFuture<'_, Vec<TableRow>>;
 }
 
@@ -52,47 +52,51 @@
     fn get(&self, name: String) -> PlatformFuture<'_, Option<Vec<u8>>>;
 }
 
-/// Lagging list of instances.
+/// List of instances, which may lag behind the actual state.
 pub trait InstanceList: Send + Sync {
     /// Reads the list.
     fn instances(&self) -> PlatformFuture<'_, Vec<InstanceRecord>>;
 }
 
-/// Client of the platform's services over HTTP.
+/// HTTP client of the platform services.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
-    base: String,
+    base_url: String,
     client: Client,
 }
 
 impl PlatformClient {
-    /// Creates a client for the services at `base`, such as `http://127.0.0.1:7000`.
-    pub fn new(base: impl Into<String>, timeout: Duration) -> Result<Self, PlatformError> {
-        let client = Client::builder().timeout(timeout).build().context(UnknownSnafu)?;
-        Ok(Self { base: base.into(), client })
+    /// Creates a client for the services at `base_url`, such as `http://127.0.0.1:7000`.
+    pub fn new(base_url: impl Into<String>, timeout: Duration) -> Result<Self, PlatformError> {
+        let client = Client::builder().timeout(timeout).build().context(OutcomeUnknownSnafu)?;
+        Ok(Self { base_url: base_url.into(), client })
     }
 
     fn url(&self, path: &str) -> String {
-        format!("{}{path}", self.base)
+        format!("{}{path}", self.base_url)
     }
 }
 
-fn count(kind: &'static str, answered: bool) {
+fn record_operation(kind: &'static str, answered: bool) {
     let outcome = if answered { "answered" } else { "failed" };
-    counter!(meter::PLATFORM, "kind" => kind, "outcome" => outcome).increment(1);
+    counter!(meter::PLATFORM_OPERATIONS, "kind" => kind, "outcome" => outcome).increment(1);
 }
 
-fn checked(
+fn check_response(
     kind: &'static str,
-    answer: Result<Response, reqwest::Error>,
+    result: Result<Response, reqwest::Error>,
 ) -> Result<Response, PlatformError> {
-    count(kind, answer.is_ok());
-    let response = answer.map_err(|source| {
-        if source.is_connect() { PlatformError::Down } else { PlatformError::Unknown { source } }
+    record_operation(kind, result.is_ok());
+    let response = result.map_err(|source| {
+        if source.is_connect() {
+            PlatformError::Unavailable
+        } else {
+            PlatformError::OutcomeUnknown { source }
+        }
     })?;
     match response.status() {
         status if status.is_success() => Ok(response),
-        StatusCode::SERVICE_UNAVAILABLE => DownSnafu.fail(),
+        StatusCode::SERVICE_UNAVAILABLE => UnavailableSnafu.fail(),
         status => StatusSnafu { status }.fail(),
     }
 }
@@ -101,24 +105,24 @@
     fn transact(&self, transaction: TableTransaction) -> PlatformFuture<'_, TransactionReply> {
         Box::pin(async move {
             let request = self.client.post(self.url("/table/transact")).json(&transaction);
-            let response = checked("transact", request.send().await)?;
-            response.json().await.context(UnknownSnafu)
+            let response = check_response("transact", request.send().await)?;
+            response.json().await.context(OutcomeUnknownSnafu)
         })
     }
 
     fn row(&self, key: String) -> PlatformFuture<'_, Option<TableRow>> {
         Box::pin(async move {
             let request = self.client.get(self.url("/table/row")).query(&[("key", key)]);
-            let response = checked("row", request.send().await)?;
-            response.json().await.context(UnknownSnafu)
+            let response = check_response("row", request.send().await)?;
+            response.json().await.context(OutcomeUnknownSnafu)
         })
     }
 
     fn scan(&self, prefix: String) -> PlatformFuture<'_, Vec<TableRow>> {
         Box::pin(async move {
             let request = self.client.get(self.url("/table/scan")).query(&[("key", prefix)]);
-            let response = checked("scan", request.send().await)?;
-            response.json().await.context(UnknownSnafu)
+            let response = check_response("scan", request.send().await)?;
+            response.json().await.context(OutcomeUnknownSnafu)
         })
     }
 }
@@ -127,18 +131,18 @@
     fn put(&self, name: String, bytes: Vec<u8>) -> PlatformFuture<'_, ()> {
         Box::pin(async move {
             let request = self.client.put(self.url("/object")).query(&[("key", name)]).body(bytes);
-            checked("put", request.send().await).map(|_| ())
+            check_response("put", request.send().await).map(|_| ())
         })
     }
 
     fn get(&self, name: String) -> PlatformFuture<'_, Option<Vec<u8>>> {
         Box::pin(async move {
             let request = self.client.get(self.url("/object")).query(&[("key", name)]);
-            let response = match checked("get", request.send().await) {
+            let response = match check_response("get", request.send().await) {
                 Err(PlatformError::Status { status: StatusCode::NOT_FOUND }) => return Ok(None),
                 other => other?,
             };
-            let bytes = response.bytes().await.context(UnknownSnafu)?;
+            let bytes = response.bytes().await.context(OutcomeUnknownSnafu)?;
             Ok(Some(bytes.to_vec()))
         })
     }
@@ -148,8 +152,8 @@
     fn instances(&self) -> PlatformFuture<'_, Vec<InstanceRecord>> {
         Box::pin(async move {
             let request = self.client.get(self.url("/instances"));
-            let response = checked("instances", request.send().await)?;
-            response.json().await.context(UnknownSnafu)
+            let response = check_response("instances", request.send().await)?;
+            response.json().await.context(OutcomeUnknownSnafu)
         })
     }
 }
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -1,4 +1,4 @@
-//! Pool of connections to one member, shared by the teams through a fair queue.
+//! Connection pool of one member, shared among teams by a fair queue.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,45 +13,45 @@
 
 use crate::member::{MemberConnection, MemberError, MemberTarget};
 
-/// Idle time after which a connection is proven before it carries a request.
-const PROVE_AFTER: Duration = Duration::from_secs(1);
-/// Time that such a proof may take.
-const PROVE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time after which a connection is closed.
-const IDLE_LIMIT: Duration = Duration::from_secs(120);
+/// Idle time after which a connection's liveness is checked before it is used again.
+const LIVENESS_CHECK_THRESHOLD: Duration = Duration::from_secs(1);
+/// Timeout of a liveness check.
+const LIVENESS_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
+/// Idle time after which a connection is evicted.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(120);
 
-/// Errors of taking a connection.
+/// Error on acquiring a connection.
 #[derive(Debug, Snafu)]
 pub enum PoolError {
-    /// The queue refused the request.
-    #[snafu(display("the queue is full"))]
-    Full,
-    /// The request cannot start before its deadline.
+    /// The queue is full.
+    #[snafu(display("connection queue is full"))]
+    QueueFull,
+    /// No connection is available before the deadline, or the member has reached its limit.
     #[snafu(display("no connection before the deadline"))]
-    Late {
-        /// Time after which a retry may pass.
+    DeadlineExceeded {
+        /// Delay after which a retry may succeed.
         retry_after: Duration,
     },
     /// A connection could not be opened.
     #[snafu(display("{source}"))]
-    Open {
-        /// Cause reported by the connection.
+    Connect {
+        /// Error on opening the connection.
         source: MemberError,
     },
 }
 
-/// Right to use one connection, returned to the queue when dropped.
+/// Permit to use one connection, released to the queue on drop.
 #[derive(Debug)]
 struct PoolPermit {
     pool: Arc<PoolShared>,
     team: TeamId,
-    since: Instant,
+    acquired_at: Instant,
 }
 
 impl Drop for PoolPermit {
     fn drop(&mut self) {
-        let held = self.since.elapsed();
-        self.pool.state.lock().queue.release(self.team, held);
+        let held_for = self.acquired_at.elapsed();
+        self.pool.state.lock().queue.release(self.team, held_for);
         self.pool.dispatch();
     }
 }
@@ -60,8 +60,8 @@
 struct PoolState {
     queue: FairQueue<TeamId, oneshot::Sender<PoolPermit>>,
     idle: Vec<MemberConnection>,
-    /// Raised when every idle connection became useless.
-    epoch: u64,
+    /// Incremented on invalidation; connections of older generations are not reused.
+    generation: u64,
 }
 
 #[derive(Debug)]
@@ -71,48 +71,48 @@
 }
 
 impl PoolShared {
-    /// Grants free permits to the requests whose turn it is.
+    /// Hands free permits to the next queued requests.
     fn dispatch(self: &Arc<Self>) {
         loop {
             let mut expired = Vec::new();
             let next = self.state.lock().queue.pop(Instant::now(), &mut expired);
-            // A dropped sender tells its request that it came too late.
+            // Dropping the sender of an expired request fails its wait.
             drop(expired);
             let Some((team, sender)) = next else {
                 return;
             };
-            let permit = PoolPermit { pool: self.clone(), team, since: Instant::now() };
-            // A request that gave up returns the permit by dropping it.
+            let permit = PoolPermit { pool: self.clone(), team, acquired_at: Instant::now() };
+            // If the request has been cancelled, the unsent permit is dropped and thereby released.
             drop(sender.send(permit));
         }
     }
 }
 
-/// Pool of connections to one member.
+/// Connection pool of one member.
 #[derive(Clone, Debug)]
 pub struct MemberPool {
     shared: Arc<PoolShared>,
 }
 
-/// Connection taken from a pool; dropping it closes it.
+/// Connection acquired from a pool; dropping it closes the connection.
 #[derive(Debug)]
 pub struct PooledConnection {
     connection: MemberConnection,
-    epoch: u64,
+    generation: u64,
     permit: PoolPermit,
 }
 
 impl PooledConnection {
-    /// Returns the connection.
-    pub fn get(&mut self) -> &mut MemberConnection {
+    /// Returns the underlying connection.
+    pub fn connection_mut(&mut self) -> &mut MemberConnection {
         &mut self.connection
     }
 
-    /// Returns the connection to the pool; its last exchange must be complete.
-    pub fn recycle(self) {
-        let Self { connection, epoch, permit } = self;
+    /// Returns the connection to the pool. All responses on it must have been read.
+    pub fn release(self) {
+        let Self { connection, generation, permit } = self;
         let mut state = permit.pool.state.lock();
-        if state.epoch == epoch && state.idle.len() < state.queue.capacity() {
+        if state.generation == generation && state.idle.len() < state.queue.capacity() {
             state.idle.push(connection);
         }
         drop(state);
@@ -121,81 +121,87 @@
 }
 
 impl MemberPool {
-    /// Creates a pool that opens at most `capacity` connections.
+    /// Creates a pool of at most `capacity` connections.
     pub fn new(target: MemberTarget, capacity: usize) -> Self {
-        let state = PoolState { queue: FairQueue::new(capacity), idle: Vec::new(), epoch: 0 };
+        let state = PoolState { queue: FairQueue::new(capacity), idle: Vec::new(), generation: 0 };
         Self { shared: Arc::new(PoolShared { target, state: Mutex::new(state) }) }
     }
 
-    /// Changes the number of connections that the pool may open.
+    /// Sets the maximum number of connections and closes surplus idle ones.
     pub fn resize(&self, capacity: usize) {
         let mut state = self.shared.state.lock();
         state.queue.resize(capacity);
-        let spare = capacity.saturating_sub(state.queue.in_use());
-        let surplus = state.idle.len().saturating_sub(spare);
+        let free_capacity = capacity.saturating_sub(state.queue.in_use());
+        let surplus = state.idle.len().saturating_sub(free_capacity);
         state.idle.drain(..surplus);
         drop(state);
         self.shared.dispatch();
     }
 
-    /// Returns the requests running and waiting.
+    /// Returns the number of requests that are in flight or queued.
     pub fn load(&self) -> u32 {
         let state = self.shared.state.lock();
         (state.queue.in_use() + state.queue.waiting()) as u32
     }
 
-    /// Closes every idle connection, and those in use once they are returned.
-    pub fn discard_idle(&self) {
+    /// Closes all idle connections at once and those in use on their release.
+    pub fn invalidate_all(&self) {
         let mut state = self.shared.state.lock();
-        state.epoch += 1;
+        state.generation += 1;
         state.idle.clear();
     }
 
-    /// Closes connections that have been idle for long.
-    pub fn close_idle(&self, now: Instant) {
+    /// Closes connections that have been idle for `MAX_IDLE_TIME`.
+    pub fn evict_idle(&self, now: Instant) {
         let mut state = self.shared.state.lock();
-        state.idle.retain(|idle| now.duration_since(idle.proved_at()) < IDLE_LIMIT);
+        state.idle.retain(|idle| now.duration_since(idle.last_active_at()) < MAX_IDLE_TIME);
     }
 
-    /// Takes a connection, waiting for the team's turn until `deadline`.
-    pub async fn take(
+    /// Acquires a connection, queued with the requests of all teams until `deadline`.
+    pub async fn acquire(
         &self,
         team: TeamId,
         deadline: Instant,
     ) -> Result<PooledConnection, PoolError> {
-        let permit = self.take_permit(team, deadline).await?;
-        while let Some((connection, epoch)) = self.pop_idle() {
-            if let Some(connection) = prove(connection).await {
-                return Ok(PooledConnection { connection, epoch, permit });
+        let permit = self.acquire_permit(team, deadline).await?;
+        while let Some((connection, generation)) = self.pop_idle() {
+            if let Some(connection) = check_liveness(connection).await {
+                return Ok(PooledConnection { connection, generation, permit });
             }
         }
-        let epoch = self.shared.state.lock().epoch;
+        let generation = self.shared.state.lock().generation;
         let open = MemberConnection::open(&self.shared.target);
         let opened = timeout_at(deadline.into(), open).await;
         match opened {
-            Ok(Ok(connection)) => Ok(PooledConnection { connection, epoch, permit }),
-            Ok(Err(MemberError::Refused { sqlstate, .. })) if sqlstate == TOO_MANY_CONNECTIONS => {
-                LateSnafu { retry_after: PROVE_TIMEOUT }.fail()
+            Ok(Ok(connection)) => Ok(PooledConnection { connection, generation, permit }),
+            Ok(Err(MemberError::ErrorResponse { sqlstate, .. }))
+                if sqlstate == TOO_MANY_CONNECTIONS =>
+            {
+                DeadlineExceededSnafu { retry_after: LIVENESS_CHECK_TIMEOUT }.fail()
             }
-            Ok(Err(source)) => Err(PoolError::Open { source }),
-            Err(_) => LateSnafu { retry_after: PROVE_TIMEOUT }.fail(),
+            Ok(Err(source)) => Err(PoolError::Connect { source }),
+            Err(_) => DeadlineExceededSnafu { retry_after: LIVENESS_CHECK_TIMEOUT }.fail(),
         }
     }
 
-    async fn take_permit(&self, team: TeamId, deadline: Instant) -> Result<PoolPermit, PoolError> {
+    async fn acquire_permit(
+        &self,
+        team: TeamId,
+        deadline: Instant,
+    ) -> Result<PoolPermit, PoolError> {
         let now = Instant::now();
         let receiver = {
             let mut state = self.shared.state.lock();
             if state.queue.try_acquire(team, now) {
                 drop(state);
-                return Ok(PoolPermit { pool: self.shared.clone(), team, since: now });
+                return Ok(PoolPermit { pool: self.shared.clone(), team, acquired_at: now });
             }
             let (sender, receiver) = oneshot::channel();
             match state.queue.push(team, sender, deadline, now) {
                 Ok(()) => receiver,
-                Err(QueueRefusal::Full) => return FullSnafu.fail(),
+                Err(QueueRefusal::Full) => return QueueFullSnafu.fail(),
                 Err(QueueRefusal::DeadlineExceeded { expected_wait }) => {
-                    return LateSnafu { retry_after: expected_wait }.fail();
+                    return DeadlineExceededSnafu { retry_after: expected_wait }.fail();
                 }
             }
         };
@@ -204,7 +210,7 @@
             Ok(Ok(permit)) => Ok(permit),
             _ => {
                 let retry_after = self.shared.state.lock().queue.expected_wait(team);
-                LateSnafu { retry_after }.fail()
+                DeadlineExceededSnafu { retry_after }.fail()
             }
         }
     }
@@ -212,15 +218,15 @@
     fn pop_idle(&self) -> Option<(MemberConnection, u64)> {
         let mut state = self.shared.state.lock();
         let connection = state.idle.pop()?;
-        Some((connection, state.epoch))
+        Some((connection, state.generation))
     }
 }
 
-/// Returns the connection if it was used a moment ago or answers now.
-async fn prove(mut connection: MemberConnection) -> Option<MemberConnection> {
-    if connection.proved_at().elapsed() < PROVE_AFTER {
+/// Returns the connection if it was active recently or responds to a status query.
+async fn check_liveness(mut connection: MemberConnection) -> Option<MemberConnection> {
+    if connection.last_active_at().elapsed() < LIVENESS_CHECK_THRESHOLD {
         return Some(connection);
     }
-    connection.status(PROVE_TIMEOUT).await.ok()?;
+    connection.status(LIVENESS_CHECK_TIMEOUT).await.ok()?;
     Some(connection)
 }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -1,4 +1,4 @@
-//! Socket that reads whole frames and keeps no buffer while it is idle.
+//! TCP socket that reads complete frames and holds no buffer while idle.
 
 use std::io::{self, Read as _};
 
@@ -9,94 +9,94 @@
 use tokio::net::TcpStream;
 use wire::frame::{self, FrameError, FrameHeader, RawFrame};
 
-/// Bytes that one read takes at most.
-const READ_BYTES: usize = 16 * 1024;
+/// Maximum number of bytes per read.
+const MAX_READ_BYTES: usize = 16 * 1024;
 
-/// Errors of a framed socket.
+/// Error on a framed socket.
 #[derive(Debug, Snafu)]
 pub enum SocketError {
-    /// The other end closed the connection.
-    #[snafu(display("the connection was closed"))]
+    /// The remote end closed the connection.
+    #[snafu(display("connection closed by the remote end"))]
     Closed,
-    /// The socket failed.
-    #[snafu(display("the connection failed: {source}"))]
-    Failed {
-        /// Cause reported by the system.
+    /// An I/O operation failed.
+    #[snafu(display("connection failed: {source}"))]
+    Io {
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The bytes are no frame.
+    /// The received bytes are not a valid frame.
     #[snafu(display("{source}"), context(false))]
     Malformed {
-        /// Cause reported by the framing.
+        /// Error of the framing.
         source: FrameError,
     },
 }
 
-/// Connection whose input is split into frames.
+/// TCP connection whose input is split into frames.
 #[derive(Debug)]
 pub struct FramedSocket {
     stream: TcpStream,
     input: BytesMut,
-    limit: usize,
+    max_frame_bytes: usize,
 }
 
 impl FramedSocket {
-    /// Wraps a stream; frames above `limit` bytes are refused.
-    pub fn new(stream: TcpStream, limit: usize) -> Self {
+    /// Wraps a stream; a frame above `max_frame_bytes` is an error.
+    pub fn new(stream: TcpStream, max_frame_bytes: usize) -> Self {
         let _ = stream.set_nodelay(true);
-        Self { stream, input: BytesMut::new(), limit }
+        Self { stream, input: BytesMut::new(), max_frame_bytes }
     }
 
-    /// Returns the bytes read and not yet taken.
+    /// Returns the buffer of bytes that are read but not consumed.
     pub fn input(&mut self) -> &mut BytesMut {
         &mut self.input
     }
 
-    /// Splits off a frame that has been read whole.
+    /// Splits off the next frame. Returns `None` if it is incomplete.
     pub fn take_frame(&mut self) -> Result<Option<RawFrame>, SocketError> {
-        Ok(frame::split_frame(&mut self.input, self.limit)?)
+        Ok(frame::split_frame(&mut self.input, self.max_frame_bytes)?)
     }
 
-    /// Returns the header of the next frame, whole or not.
+    /// Returns the header of the next frame, whose body may be incomplete.
     pub fn peek_header(&self) -> Result<Option<FrameHeader>, SocketError> {
-        Ok(frame::peek_header(&self.input, self.limit)?)
+        Ok(frame::peek_header(&self.input, self.max_frame_bytes)?)
     }
 
-    /// Reads at least one byte.
+    /// Waits for input and appends at least one byte to the buffer.
     pub async fn fill(&mut self) -> Result<(), SocketError> {
         if self.input.is_empty() {
-            // An idle connection must not hold a buffer.
+            // Frees the allocation, so that an idle connection holds no buffer.
             self.input = BytesMut::new();
         }
         loop {
-            self.stream.readable().await.context(FailedSnafu)?;
-            match self.read_piece() {
+            self.stream.readable().await.context(IoSnafu)?;
+            match self.read_available() {
                 Ok(0) => return ClosedSnafu.fail(),
                 Ok(_) => return Ok(()),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(source) => return Err(SocketError::Failed { source }),
+                Err(source) => return Err(SocketError::Io { source }),
             }
         }
     }
 
-    /// Reads what is there, up to one piece.
+    /// Reads the available bytes, up to `MAX_READ_BYTES`.
     ///
-    /// A short read empties the socket, so it is reported to the runtime as one that would block:
-    /// otherwise the next wait begins with a read that finds nothing.
-    fn read_piece(&mut self) -> io::Result<usize> {
-        let mut piece = [0; READ_BYTES];
-        let mut short = 0;
+    /// A short read has emptied the socket, so it is reported to the runtime as `WouldBlock`.
+    /// Otherwise the next wait would start with a system call that reads nothing.
+    fn read_available(&mut self) -> io::Result<usize> {
+        let mut buffer = [0; MAX_READ_BYTES];
+        let mut short_read = 0;
         let socket = SockRef::from(&self.stream);
         let result = self.stream.try_io(Interest::READABLE, || {
-            let read = (&*socket).read(&mut piece)?;
-            if read == 0 || read == READ_BYTES {
+            let read = (&*socket).read(&mut buffer)?;
+            if read == 0 || read == MAX_READ_BYTES {
                 return Ok(read);
             }
-            short = read;
+            short_read = read;
             Err(io::ErrorKind::WouldBlock.into())
         });
-        let read = if short > 0 { short } else { result? };
-        self.input.extend_from_slice(&piece[..read]);
+        let read = if short_read > 0 { short_read } else { result? };
+        self.input.extend_from_slice(&buffer[..read]);
         Ok(read)
     }
 
@@ -105,15 +105,15 @@
         let written = match self.stream.try_write(bytes) {
             Ok(written) => written,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => 0,
-            Err(source) => return Err(SocketError::Failed { source }),
+            Err(source) => return Err(SocketError::Io { source }),
         };
         if written < bytes.len() {
-            self.stream.write_all(&bytes[written..]).await.context(FailedSnafu)?;
+            self.stream.write_all(&bytes[written..]).await.context(IoSnafu)?;
         }
         Ok(())
     }
 
-    /// Closes the sending side after everything written was sent.
+    /// Shuts down the write half once all written bytes are sent.
     pub async fn shutdown(&mut self) {
         let _ = self.stream.shutdown().await;
     }
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -1,4 +1,4 @@
-//! Documents in the platform's services: a head row for each environment, bodies as objects.
+//! Storage of documents in the platform services: a head row per environment, bodies as objects.
 
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt as _, ResultExt as _, Snafu};
@@ -7,51 +7,51 @@
 
 use crate::platform::{ObjectStore, PlatformError, TableService};
 
-/// Errors of the document store.
+/// Error of the document store.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
-    /// The platform's service failed.
+    /// An operation on a platform service failed.
     #[snafu(display("{source}"), context(false))]
     Platform {
-        /// Cause reported by the service.
+        /// Error of the operation.
         source: PlatformError,
     },
-    /// A row cannot be read.
+    /// A row cannot be decoded or encoded.
     #[snafu(display("row {key} is malformed: {source}"))]
-    Row {
+    MalformedRow {
         /// Key of the row.
         key: String,
-        /// Cause reported by the JSON reader.
+        /// Error of the JSON codec.
         source: serde_json::Error,
     },
-    /// The platform's service took too long.
-    #[snafu(display("no answer from the platform's service within {} ms", limit.as_millis()))]
-    Slow {
-        /// Time that was waited.
+    /// A platform service did not respond in time.
+    #[snafu(display("no response from platform service within {} ms", limit.as_millis()))]
+    Timeout {
+        /// Timeout of the operation.
         limit: std::time::Duration,
     },
-    /// A body is missing or does not match its digest.
+    /// A document body is missing or does not match its digest.
     #[snafu(display("document body {digest} is missing or damaged"))]
-    Body {
+    MissingBody {
         /// Digest of the body.
         digest: String,
     },
 }
 
-/// Revision in force in one environment.
+/// Head row of an environment: the revision of its document that is in force.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct DocumentHead {
     /// Revision, counted from 1.
     pub revision: u64,
     /// Digest of the document's bytes.
     pub digest: String,
-    /// Identifier of the request that made the revision.
+    /// Identifier of the request that created the revision.
     pub request: String,
-    /// Operator who made the revision.
+    /// Operator who created the revision.
     pub operator: String,
 }
 
-/// Document with its head.
+/// Document together with its head.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredDocument {
     /// Head of the revision.
@@ -60,16 +60,16 @@
     pub text: String,
 }
 
-/// Answer to an attempt to replace a document.
+/// Outcome of an attempt to replace a document.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReplaceOutcome {
-    /// The document is accepted under this head.
+    /// The document is in force with this head.
     Accepted(DocumentHead),
-    /// Another revision is in force.
+    /// Another revision than the expected one is in force.
     Conflict(DocumentHead),
 }
 
-/// Reads and replaces documents.
+/// Reads and replaces the documents of one environment.
 pub struct DocumentStore<'a, P> {
     platform: &'a P,
     environment: &'a str,
@@ -81,21 +81,21 @@
         Self { platform, environment }
     }
 
-    /// Reads the head in force, or none before the first document.
+    /// Reads the current head. Returns `None` before the first document.
     pub async fn head(&self) -> Result<Option<DocumentHead>, StoreError> {
         Ok(self.head_row().await?.map(|(head, _)| head))
     }
 
-    /// Reads the document of a head.
+    /// Reads the document body of a head and verifies its digest.
     pub async fn body(&self, head: &DocumentHead) -> Result<String, StoreError> {
         let digest = &head.digest;
         let bytes = self.platform.get(object_name(digest)).await?;
         let text = bytes.and_then(|bytes| String::from_utf8(bytes).ok());
         let text = text.filter(|text| sha256_hex(text.as_bytes()) == *digest);
-        text.context(BodySnafu { digest })
+        text.context(MissingBodySnafu { digest })
     }
 
-    /// Reads the document in force.
+    /// Reads the document in force. Returns `None` before the first document.
     pub async fn current(&self) -> Result<Option<StoredDocument>, StoreError> {
         let Some(head) = self.head().await? else {
             return Ok(None);
@@ -104,18 +104,18 @@
         Ok(Some(StoredDocument { head, text }))
     }
 
-    /// Tells whether a document of this digest was ever in force in the environment.
+    /// Returns whether a document with this digest has ever been in force in the environment.
     pub async fn was_in_force(&self, digest: &str) -> Result<bool, StoreError> {
         Ok(self.platform.row(self.history_key(digest)).await?.is_some())
     }
 
-    /// Replaces the revision `expected`; zero stands for none.
+    /// Replaces the document if its revision is `expected_revision`, zero for no document.
     ///
-    /// A request that was carried out before is answered with the head it made, so a caller whose
-    /// answer was lost repeats it safely.
+    /// The operation is idempotent: a `request` that took effect before returns the head that it
+    /// created, so a caller may repeat it after a lost response.
     pub async fn replace(
         &self,
-        expected: u64,
+        expected_revision: u64,
         text: &str,
         request: &str,
         operator: &str,
@@ -124,23 +124,24 @@
             return Ok(ReplaceOutcome::Accepted(head));
         }
         let current = self.head_row().await?;
-        let (revision, row) = current.as_ref().map_or((0, 0), |(head, row)| (head.revision, *row));
-        if let Some((head, _)) = current.filter(|_| revision != expected) {
+        let (revision, row_revision) =
+            current.as_ref().map_or((0, 0), |(head, row)| (head.revision, *row));
+        if let Some((head, _)) = current.filter(|_| revision != expected_revision) {
             return Ok(ReplaceOutcome::Conflict(head));
         }
         let digest = sha256_hex(text.as_bytes());
         self.platform.put(object_name(&digest), text.as_bytes().to_vec()).await?;
         let head = DocumentHead {
-            revision: expected + 1,
+            revision: expected_revision + 1,
             digest,
             request: request.to_owned(),
             operator: operator.to_owned(),
         };
-        let transaction = self.replacement(&head, row)?;
+        let transaction = self.replace_transaction(&head, row_revision)?;
         match self.platform.transact(transaction).await {
             Ok(TransactionReply::Applied { .. }) => Ok(ReplaceOutcome::Accepted(head)),
-            Ok(TransactionReply::Conflict { .. }) => self.lost_race(request).await,
-            // The write may have taken effect; its request row tells.
+            Ok(TransactionReply::Conflict { .. }) => self.resolve_conflict(request).await,
+            // The write may have taken effect; the row of the request resolves the outcome.
             Err(error) => match self.request_head(request).await? {
                 Some(head) => Ok(ReplaceOutcome::Accepted(head)),
                 None => Err(error.into()),
@@ -148,27 +149,31 @@
         }
     }
 
-    async fn lost_race(&self, request: &str) -> Result<ReplaceOutcome, StoreError> {
+    async fn resolve_conflict(&self, request: &str) -> Result<ReplaceOutcome, StoreError> {
         if let Some(head) = self.request_head(request).await? {
             return Ok(ReplaceOutcome::Accepted(head));
         }
         let head = self.head().await?;
         let digest = "head";
-        Ok(ReplaceOutcome::Conflict(head.context(BodySnafu { digest })?))
+        Ok(ReplaceOutcome::Conflict(head.context(MissingBodySnafu { digest })?))
     }
 
-    fn replacement(&self, head: &DocumentHead, row: u64) -> Result<TableTransaction, StoreError> {
+    fn replace_transaction(
+        &self,
+        head: &DocumentHead,
+        row_revision: u64,
+    ) -> Result<TableTransaction, StoreError> {
         let key = self.head_key();
-        let value = serde_json::to_string(head).context(RowSnafu { key: key.clone() })?;
-        let request = self.request_key(&head.request);
+        let value = serde_json::to_string(head).context(MalformedRowSnafu { key: key.clone() })?;
+        let request_key = self.request_key(&head.request);
         Ok(TableTransaction {
             checks: vec![
-                RowCheck { key: key.clone(), revision: row },
-                RowCheck { key: request.clone(), revision: 0 },
+                RowCheck { key: key.clone(), revision: row_revision },
+                RowCheck { key: request_key.clone(), revision: 0 },
             ],
             writes: vec![
                 RowWrite { key, value: Some(value.clone()) },
-                RowWrite { key: request, value: Some(value.clone()) },
+                RowWrite { key: request_key, value: Some(value.clone()) },
                 RowWrite { key: self.history_key(&head.digest), value: Some(value) },
             ],
         })
@@ -176,12 +181,12 @@
 
     async fn head_row(&self) -> Result<Option<(DocumentHead, u64)>, StoreError> {
         let row = self.platform.row(self.head_key()).await?;
-        row.map(|row| read_head(&row).map(|head| (head, row.revision))).transpose()
+        row.map(|row| parse_head(&row).map(|head| (head, row.revision))).transpose()
     }
 
     async fn request_head(&self, request: &str) -> Result<Option<DocumentHead>, StoreError> {
         let row = self.platform.row(self.request_key(request)).await?;
-        row.as_ref().map(read_head).transpose()
+        row.as_ref().map(parse_head).transpose()
     }
 
     fn head_key(&self) -> String {
@@ -197,15 +202,15 @@
     }
 }
 
-/// Head and epoch as one read finds them.
+/// Head and epoch of an environment, read in one scan.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct CurrentRows {
-    /// Head of the document in force.
+pub struct EnvironmentSnapshot {
+    /// Head of the document in force, if any.
     pub head: Option<DocumentHead>,
-    /// Epoch of the allotment ledger.
+    /// Current epoch of the allotment ledger, if any.
     pub epoch: Option<LedgerEpoch>,
-    /// Table revision of the epoch's row, zero if it is absent.
-    pub epoch_row: u64,
+    /// Table revision of the epoch row, zero if the row is absent.
+    pub epoch_row_revision: u64,
 }
 
 /// Epoch of the allotment ledger.
@@ -213,46 +218,53 @@
 pub struct LedgerEpoch {
     /// Number of the epoch, counted from 1.
     pub number: u64,
-    /// Incarnation of the instance that issues what nobody reports.
+    /// Incarnation of the instance that issues the shares which no instance reports.
     pub issuer: u64,
 }
 
 impl<P: TableService + ObjectStore> DocumentStore<'_, P> {
-    /// Reads head and epoch together.
-    pub async fn current_rows(&self) -> Result<CurrentRows, StoreError> {
+    /// Reads head and epoch in one scan.
+    pub async fn snapshot(&self) -> Result<EnvironmentSnapshot, StoreError> {
         let prefix = current_prefix(self.environment);
-        let mut current = CurrentRows::default();
+        let mut snapshot = EnvironmentSnapshot::default();
         for row in self.platform.scan(prefix.clone()).await? {
             match row.key.strip_prefix(&prefix) {
-                Some("head") => current.head = Some(read_head(&row)?),
+                Some("head") => snapshot.head = Some(parse_head(&row)?),
                 Some("epoch") => {
                     let epoch = serde_json::from_str(&row.value);
-                    current.epoch = Some(epoch.context(RowSnafu { key: row.key.clone() })?);
-                    current.epoch_row = row.revision;
+                    snapshot.epoch =
+                        Some(epoch.context(MalformedRowSnafu { key: row.key.clone() })?);
+                    snapshot.epoch_row_revision = row.revision;
                 }
                 _ => {}
             }
         }
-        Ok(current)
+        Ok(snapshot)
     }
 
-    /// Starts an epoch if the row still has revision `row`; false if another instance was first.
-    pub async fn start_epoch(&self, row: u64, epoch: &LedgerEpoch) -> Result<bool, StoreError> {
+    /// Starts an epoch if the epoch row still has revision `row_revision`.
+    ///
+    /// Returns false if another instance has started one first.
+    pub async fn start_epoch(
+        &self,
+        row_revision: u64,
+        epoch: &LedgerEpoch,
+    ) -> Result<bool, StoreError> {
         let key = format!("{}epoch", current_prefix(self.environment));
-        let value = serde_json::to_string(epoch).context(RowSnafu { key: key.clone() })?;
+        let value = serde_json::to_string(epoch).context(MalformedRowSnafu { key: key.clone() })?;
         let transaction = TableTransaction {
-            checks: vec![RowCheck { key: key.clone(), revision: row }],
+            checks: vec![RowCheck { key: key.clone(), revision: row_revision }],
             writes: vec![RowWrite { key, value: Some(value) }],
         };
         let reply = self.platform.transact(transaction).await;
         if let Ok(TransactionReply::Applied { .. }) = reply {
             return Ok(true);
         }
-        // A lost answer or a conflict is settled by reading back who issues the epoch.
-        Ok(self.current_rows().await?.epoch.as_ref() == Some(epoch))
+        // After a lost response or a conflict the stored epoch shows whether this write succeeded.
+        Ok(self.snapshot().await?.epoch.as_ref() == Some(epoch))
     }
 
-    /// Records a finished promotion, unless a higher term is recorded.
+    /// Records a finished promotion, unless the same or a higher term is recorded already.
     pub async fn record_primary(
         &self,
         database: &str,
@@ -262,14 +274,15 @@
     ) -> Result<(), StoreError> {
         let key = format!("environment/{}/primary/{database}", self.environment);
         let row = self.platform.row(key.clone()).await?;
-        let recorded: Option<PrimaryRecord> =
+        let current: Option<PrimaryRecord> =
             row.as_ref().and_then(|row| serde_json::from_str(&row.value).ok());
-        if recorded.is_some_and(|recorded| recorded.term >= term) {
+        if current.is_some_and(|current| current.term >= term) {
             return Ok(());
         }
         let record =
             PrimaryRecord { term, primary: primary.to_owned(), instance: instance.to_owned() };
-        let value = serde_json::to_string(&record).context(RowSnafu { key: key.clone() })?;
+        let value =
+            serde_json::to_string(&record).context(MalformedRowSnafu { key: key.clone() })?;
         let revision = row.map_or(0, |row| row.revision);
         let transaction = TableTransaction {
             checks: vec![RowCheck { key: key.clone(), revision }],
@@ -280,14 +293,14 @@
     }
 }
 
-/// Record of the last promotion of a database.
+/// Row with the last promotion of a database.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PrimaryRecord {
     /// Term of the primary.
     pub term: u64,
     /// Logical name of the primary.
     pub primary: String,
-    /// Instance that promoted it.
+    /// Name of the instance that promoted it.
     pub instance: String,
 }
 
@@ -299,6 +312,6 @@
     format!("document/{digest}")
 }
 
-fn read_head(row: &TableRow) -> Result<DocumentHead, StoreError> {
-    serde_json::from_str(&row.value).context(RowSnafu { key: row.key.clone() })
+fn parse_head(row: &TableRow) -> Result<DocumentHead, StoreError> {
+    serde_json::from_str(&row.value).context(MalformedRowSnafu { key: row.key.clone() })
 }
--- a/crates/proxy/src/session/batch.rs
+++ b/crates/proxy/src/session/batch.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use bytes::BytesMut;
+use wire::backend;
 use wire::frame::RawFrame;
 use wire::frontend::{self, BindFields, FieldError, ObjectFields, ObjectKind, ParseFields};
-use wire::reply;
 use wire::statement::{StatementCache, StatementClass};
 
 /// Statement prepared by a session.
@@ -22,11 +22,11 @@
 impl PreparedText {
     fn new(fields: &ParseFields<'_>, statements: &StatementCache) -> Self {
         let mut hasher = DefaultHasher::new();
-        (fields.query, fields.types).hash(&mut hasher);
+        (fields.query, fields.parameter_types).hash(&mut hasher);
         Self {
             id: hasher.finish(),
             query: fields.query.to_owned(),
-            types: fields.types.to_vec(),
+            types: fields.parameter_types.to_vec(),
             class: statements.classify(fields.query),
         }
     }
@@ -207,7 +207,7 @@
             _ => {
                 let classes: Vec<&StatementClass> =
                     distinct.iter().map(|class| &***class).collect();
-                Arc::new(StatementClass::merged(&classes))
+                Arc::new(StatementClass::merge(&classes))
             }
         }
     }
@@ -243,7 +243,7 @@
     fn put(&mut self, message: &BatchMessage) {
         match message {
             BatchMessage::Parse { named: true, text } if self.is_prepared(text) => {
-                self.steps.push_back(ReplyStep::Given(reply::PARSED));
+                self.steps.push_back(ReplyStep::Given(backend::PARSE_COMPLETE));
             }
             BatchMessage::Parse { named, text } => self.parse(*named, text, false),
             BatchMessage::Bind { named, text, frame } => {
@@ -264,7 +264,9 @@
                 self.steps.push_back(ReplyStep::Relayed);
             }
             // The member keeps the statement for other sessions that prepare the same text.
-            BatchMessage::CloseStatement => self.steps.push_back(ReplyStep::Given(reply::CLOSED)),
+            BatchMessage::CloseStatement => {
+                self.steps.push_back(ReplyStep::Given(backend::CLOSE_COMPLETE))
+            }
             BatchMessage::DescribePortal(frame)
             | BatchMessage::Execute(frame)
             | BatchMessage::ClosePortal(frame) => {
@@ -287,7 +289,7 @@
 
     fn parse(&mut self, named: bool, text: &PreparedText, hidden: bool) {
         let name = remote(named, text);
-        let fields = ParseFields { name: &name, query: &text.query, types: &text.types };
+        let fields = ParseFields { name: &name, query: &text.query, parameter_types: &text.types };
         frontend::put_parse(self.output, &fields);
         if named {
             self.parsed.insert(text.id);
--- a/crates/proxy/src/watcher.rs
+++ b/crates/proxy/src/watcher.rs
@@ -51,7 +51,7 @@
                 database.record_loss(index, &error);
             }
         }
-        database.members[index].pool.close_idle(Instant::now());
+        database.members[index].pool.evict_idle(Instant::now());
     }
 }
 
@@ -62,11 +62,11 @@
 ) -> Result<MemberStatus, MemberError> {
     if connection.is_none() {
         let open = timeout(STATUS_TIMEOUT, database.members[index].open_control()).await;
-        *connection = Some(open.map_err(|_| MemberError::Silent { limit: STATUS_TIMEOUT })??);
+        *connection = Some(open.map_err(|_| MemberError::Timeout { limit: STATUS_TIMEOUT })??);
     }
     match connection {
         Some(connection) => connection.status(STATUS_TIMEOUT).await,
-        None => Err(MemberError::Silent { limit: STATUS_TIMEOUT }),
+        None => Err(MemberError::Timeout { limit: STATUS_TIMEOUT }),
     }
 }
 
@@ -101,12 +101,12 @@
     frontend::put_query(&mut output, &GroupCommand::Status.to_string());
     frontend::put_query(&mut output, &GroupCommand::Confirm.to_string());
     connection.send(&output).await?;
-    let status = connection.read_command_answer().await?;
-    connection.read_command_answer().await?;
+    let status = connection.read_command_response().await?;
+    connection.read_command_response().await?;
     let status: MemberStatus =
-        status.parse().map_err(|_| MemberError::Protocol { what: "a status" })?;
+        status.parse().map_err(|_| MemberError::Protocol { expected: "a status" })?;
     if status.position.role != MemberRole::Primary {
-        return Err(MemberError::Protocol { what: "a primary" });
+        return Err(MemberError::Protocol { expected: "a primary" });
     }
     Ok(status.position)
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,9 +1,9 @@
-//! Logging as numbered events, metrics and the settings that all programs share.
+//! Numbered log events, metrics, and the startup and settings shared by all programs.
 
 pub use log;
 
-pub mod bounded;
 pub mod event;
 pub mod logging;
 pub mod meter;
 pub mod program;
+pub mod stdout;
--- a/crates/telemetry/src/program.rs
+++ b/crates/telemetry/src/program.rs
@@ -1,4 +1,4 @@
-//! Start and end that all programs share.
+//! Startup, shutdown and exit codes shared by all programs.
 
 use std::fmt::Display;
 use std::process::ExitCode;
@@ -7,20 +7,22 @@
 use crate::log_event;
 use crate::logging::{self, LoggingSettings};
 
-/// Exit status of a program whose settings are wrong.
-pub const SETTINGS_STATUS: u8 = 2;
+/// Exit code of a program with invalid settings.
+pub const SETTINGS_EXIT_CODE: u8 = 2;
 
-/// Starts logging and says which program runs; an error ends the program.
+/// Initializes logging and logs the start of the program.
+///
+/// Returns the exit code for the process if logging cannot be initialized.
 pub fn begin(name: &str, settings: &LoggingSettings) -> Result<(), ExitCode> {
     if let Err(error) = logging::start(settings) {
         eprintln!("{name}: {error}");
-        return Err(ExitCode::from(SETTINGS_STATUS));
+        return Err(ExitCode::from(SETTINGS_EXIT_CODE));
     }
     log_event!(LogEvent::ProgramStarted, "program={name} version={}", env!("CARGO_PKG_VERSION"));
     Ok(())
 }
 
-/// Turns the result of a program into its exit status.
+/// Logs the result of a program and returns its exit code.
 pub fn end<E: Display>(name: &str, result: Result<(), E>) -> ExitCode {
     match result {
         Ok(()) => {
@@ -34,8 +36,8 @@
     }
 }
 
-/// Waits for SIGTERM or SIGINT.
-pub async fn stop_signal() {
+/// Waits for SIGTERM or SIGINT. Never returns if the signal handlers cannot be installed.
+pub async fn shutdown_signal() {
     use tokio::signal::unix::{SignalKind, signal};
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
--- a/crates/wire/src/frontend.rs
+++ b/crates/wire/src/frontend.rs
@@ -1,4 +1,4 @@
-//! Fields of caller messages that the proxy reads or replaces; everything else passes as bytes.
+//! Messages from a PostgreSQL client to its server, as far as the proxy reads or rewrites them.
 
 use bytes::{BufMut as _, BytesMut};
 use snafu::{OptionExt as _, Snafu};
@@ -26,39 +26,39 @@
 /// Tag of a password message.
 pub const PASSWORD: u8 = b'p';
 
-/// Error of reading a caller message.
+/// Error on a message with a malformed field.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display("the {field} of a message of type {tag:?} is malformed", tag = char::from(*tag)))]
 pub struct FieldError {
     /// Tag of the message.
     pub tag: u8,
-    /// Field that could not be read.
+    /// Name of the malformed field.
     pub field: &'static str,
 }
 
-/// Parse message.
+/// Fields of a parse message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ParseFields<'a> {
-    /// Name of the statement, empty for the unnamed one.
+    /// Name of the prepared statement, empty for the unnamed one.
     pub name: &'a str,
-    /// Statement text.
+    /// Text of the statement.
     pub query: &'a str,
-    /// Parameter types as they stand in the message.
-    pub types: &'a [u8],
+    /// Encoded number and types of the parameters.
+    pub parameter_types: &'a [u8],
 }
 
-/// Bind message.
+/// Fields of a bind message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BindFields<'a> {
-    /// Name of the portal.
+    /// Name of the portal, empty for the unnamed one.
     pub portal: &'a str,
-    /// Name of the statement.
+    /// Name of the prepared statement, empty for the unnamed one.
     pub statement: &'a str,
-    /// Formats and parameter values as they stand in the message.
+    /// Encoded parameter formats, parameter values and result formats.
     pub values: &'a [u8],
 }
 
-/// Object that a describe or close message names.
+/// Kind of object that a describe or close message refers to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ObjectKind {
     /// Prepared statement.
@@ -67,7 +67,7 @@
     Portal,
 }
 
-/// Describe or close message.
+/// Fields of a describe or close message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ObjectFields<'a> {
     /// Kind of the object.
@@ -79,60 +79,60 @@
 /// Reads the text of a simple query.
 pub fn read_query(frame: &RawFrame) -> Result<&str, FieldError> {
     let mut reader = FieldReader::new(frame);
-    reader.text("query")
+    reader.read_cstring("query")
 }
 
 /// Reads a parse message.
 pub fn read_parse(frame: &RawFrame) -> Result<ParseFields<'_>, FieldError> {
     let mut reader = FieldReader::new(frame);
-    let name = reader.text("name")?;
-    let query = reader.text("query")?;
-    Ok(ParseFields { name, query, types: reader.rest })
+    let name = reader.read_cstring("name")?;
+    let query = reader.read_cstring("query")?;
+    Ok(ParseFields { name, query, parameter_types: reader.remaining })
 }
 
 /// Reads a bind message.
 pub fn read_bind(frame: &RawFrame) -> Result<BindFields<'_>, FieldError> {
     let mut reader = FieldReader::new(frame);
-    let portal = reader.text("portal")?;
-    let statement = reader.text("statement")?;
-    Ok(BindFields { portal, statement, values: reader.rest })
+    let portal = reader.read_cstring("portal")?;
+    let statement = reader.read_cstring("statement")?;
+    Ok(BindFields { portal, statement, values: reader.remaining })
 }
 
 /// Reads a describe or close message.
 pub fn read_object(frame: &RawFrame) -> Result<ObjectFields<'_>, FieldError> {
     let mut reader = FieldReader::new(frame);
-    let kind = match reader.byte("kind")? {
+    let kind = match reader.read_byte("kind")? {
         b'S' => ObjectKind::Statement,
         b'P' => ObjectKind::Portal,
         _ => return FieldSnafu { tag: frame.tag, field: "kind" }.fail(),
     };
-    Ok(ObjectFields { kind, name: reader.text("name")? })
+    Ok(ObjectFields { kind, name: reader.read_cstring("name")? })
 }
 
 /// Reads the portal name of an execute message.
 pub fn read_execute(frame: &RawFrame) -> Result<&str, FieldError> {
-    FieldReader::new(frame).text("portal")
+    FieldReader::new(frame).read_cstring("portal")
 }
 
 /// Writes a simple query.
 pub fn put_query(buffer: &mut BytesMut, query: &str) {
-    put_frame(buffer, QUERY, |body| put_text(body, query));
+    put_frame(buffer, QUERY, |body| put_cstring(body, query));
 }
 
 /// Writes a parse message.
 pub fn put_parse(buffer: &mut BytesMut, fields: &ParseFields<'_>) {
     put_frame(buffer, PARSE, |body| {
-        put_text(body, fields.name);
-        put_text(body, fields.query);
-        body.put_slice(fields.types);
+        put_cstring(body, fields.name);
+        put_cstring(body, fields.query);
+        body.put_slice(fields.parameter_types);
     });
 }
 
 /// Writes a bind message.
 pub fn put_bind(buffer: &mut BytesMut, fields: &BindFields<'_>) {
     put_frame(buffer, BIND, |body| {
-        put_text(body, fields.portal);
-        put_text(body, fields.statement);
+        put_cstring(body, fields.portal);
+        put_cstring(body, fields.statement);
         body.put_slice(fields.values);
     });
 }
@@ -141,16 +141,16 @@
 pub fn put_object(buffer: &mut BytesMut, tag: u8, fields: &ObjectFields<'_>) {
     put_frame(buffer, tag, |body| {
         body.put_u8(if fields.kind == ObjectKind::Statement { b'S' } else { b'P' });
-        put_text(body, fields.name);
+        put_cstring(body, fields.name);
     });
 }
 
-/// Writes a message without a body.
+/// Writes a message with an empty body.
 pub fn put_empty(buffer: &mut BytesMut, tag: u8) {
     put_frame(buffer, tag, |_| {});
 }
 
-fn put_text(body: &mut BytesMut, text: &str) {
+fn put_cstring(body: &mut BytesMut, text: &str) {
     body.put_slice(text.as_bytes());
     body.put_u8(0);
 }
@@ -166,25 +166,26 @@
 
 struct FieldReader<'a> {
     tag: u8,
-    rest: &'a [u8],
+    remaining: &'a [u8],
 }
 
 impl<'a> FieldReader<'a> {
     fn new(frame: &'a RawFrame) -> Self {
-        Self { tag: frame.tag, rest: frame.body() }
+        Self { tag: frame.tag, remaining: frame.body() }
     }
 
-    fn byte(&mut self, field: &'static str) -> Result<u8, FieldError> {
-        let (first, rest) = self.rest.split_first().context(FieldSnafu { tag: self.tag, field })?;
-        self.rest = rest;
+    fn read_byte(&mut self, field: &'static str) -> Result<u8, FieldError> {
+        let (first, remaining) =
+            self.remaining.split_first().context(FieldSnafu { tag: self.tag, field })?;
+        self.remaining = remaining;
         Ok(*first)
     }
 
-    fn text(&mut self, field: &'static str) -> Result<&'a str, FieldError> {
+    fn read_cstring(&mut self, field: &'static str) -> Result<&'a str, FieldError> {
         let context = FieldSnafu { tag: self.tag, field };
-        let end = self.rest.iter().position(|byte| *byte == 0).context(context)?;
-        let text = std::str::from_utf8(&self.rest[..end]).ok().context(context)?;
-        self.rest = &self.rest[end + 1..];
+        let end = self.remaining.iter().position(|byte| *byte == 0).context(context)?;
+        let text = std::str::from_utf8(&self.remaining[..end]).ok().context(context)?;
+        self.remaining = &self.remaining[end + 1..];
         Ok(text)
     }
 }
