--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/admission.rs
@@ -8,8 +8,8 @@
 use coord::urgency::UrgencyLevel;
 use tokio::time::sleep;
 
+use crate::instance::{EngineTypes, GatewayInstance};
 use crate::message::CountAnswer;
-use crate::node::{EngineEdge, GatewayNode};
 
 /// Time in which the counter of a team must answer.
 const COUNT_TIMEOUT: Duration = Duration::from_millis(150);
@@ -20,7 +20,7 @@
 /// Time between observations of who can be reached.
 const OBSERVATION_PERIOD: Duration = Duration::from_millis(200);
 
-impl<E: EngineEdge> GatewayNode<E> {
+impl<E: EngineTypes> GatewayInstance<E> {
     /// Admits an operation of a team, or tells after which time it could be admitted.
     ///
     /// A short wait for the next token is spent here, up to `patience`.
@@ -45,31 +45,30 @@
     }
 
     /// Counts an operation here, as the counter of its team.
-    pub fn count_here(&self, team: &str, level: UrgencyLevel, patience: Duration) -> CountAnswer {
+    pub fn admit_locally(
+        &self,
+        team: &str,
+        level: UrgencyLevel,
+        patience: Duration,
+    ) -> CountAnswer {
         let document = self.directory.borrow().document();
         let Some(limit) = document.limit(team) else {
             return CountAnswer::Admitted { after: Duration::ZERO };
         };
         let (first, now) = (self.is_first_start(), self.now());
-        match self.counters.borrow_mut().take(
-            team,
-            limit,
-            document.rank(level),
-            patience,
-            first,
-            now,
-        ) {
+        match self.quotas.borrow_mut().take(team, limit, document.rank(level), patience, first, now)
+        {
             Ok(after) => CountAnswer::Admitted { after },
             Err(delay) => CountAnswer::Refused { retry: delay.retry_after },
         }
     }
 
     /// Keeps the counters informed about who can be reached.
-    pub async fn observe_reach(self: Rc<Self>) {
+    pub async fn track_reachability(self: Rc<Self>) {
         loop {
             let reached = self.peers.live().len() + 1;
             let registered = self.peers.registered();
-            self.counters.borrow_mut().observe(reached, registered, self.now());
+            self.quotas.borrow_mut().observe(reached, registered, self.now());
             sleep(OBSERVATION_PERIOD).await;
         }
     }
@@ -93,6 +92,6 @@
                 return answer;
             }
         }
-        self.count_here(team, level, patience)
+        self.admit_locally(team, level, patience)
     }
 }
--- a/crates/engine/src/caller.rs
+++ b/crates/engine/src/caller.rs
@@ -15,9 +15,9 @@
 use tokio::time::{sleep, timeout};
 
 use crate::directory::DocumentIndex;
-use crate::lines::LineBuffer;
+use crate::instance::{EngineTypes, GatewayInstance};
+use crate::line_buffer::LineBuffer;
 use crate::link::{CallerRequest, RefusalCode, WireCodec};
-use crate::node::{EngineEdge, GatewayNode};
 use crate::operation::{OperationContext, OperationResult, PinnedPlace};
 use crate::record::RouteRecord;
 
@@ -35,8 +35,8 @@
 const BALANCER_TIME: Duration = Duration::from_millis(2_300);
 
 /// Open session.
-struct CallerSession<E: EngineEdge> {
-    node: Rc<GatewayNode<E>>,
+struct CallerSession<E: EngineTypes> {
+    node: Rc<GatewayInstance<E>>,
     reader: OwnedReadHalf,
     writer: OwnedWriteHalf,
     input: LineBuffer,
@@ -60,7 +60,7 @@
     Leaving,
 }
 
-impl<E: EngineEdge> GatewayNode<E> {
+impl<E: EngineTypes> GatewayInstance<E> {
     /// Accepts callers.
     pub async fn accept_callers(self: Rc<Self>, listener: TcpListener) {
         loop {
@@ -82,7 +82,7 @@
     }
 }
 
-async fn serve_caller<E: EngineEdge>(node: &Rc<GatewayNode<E>>, stream: TcpStream) {
+async fn serve_caller<E: EngineTypes>(node: &Rc<GatewayInstance<E>>, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         log_event!(LogEvent::CallerRefused, "cause=\"{error}\"");
         return;
@@ -106,7 +106,7 @@
     session.drop_transaction();
 }
 
-impl<E: EngineEdge> CallerSession<E> {
+impl<E: EngineTypes> CallerSession<E> {
     /// Reads the opening of the session and answers it; none if the session is not open.
     async fn open(&mut self) -> Option<()> {
         let first = timeout(STARTUP_TIMEOUT, self.next_line()).await;
@@ -114,7 +114,7 @@
             return None;
         };
         let request = E::Codec::decode_request(self.input.line(length));
-        self.input.drop_line(length);
+        self.input.consume_line(length);
         let CallerRequest::Startup { database, key } = request else {
             self.refuse_startup(RefusalCode::Malformed, "a session must be opened first").await;
             return None;
@@ -166,7 +166,7 @@
             match self.wait().await {
                 SessionEvent::Line(length, began_at) => {
                     let request = E::Codec::decode_request(self.input.line(length));
-                    self.input.drop_line(length);
+                    self.input.consume_line(length);
                     match request {
                         CallerRequest::Terminate => return,
                         CallerRequest::Statement { id, text, class } => {
@@ -336,7 +336,7 @@
         };
         let team = self.key.as_deref().and_then(|key| document.team_of(key));
         match team {
-            Some(_) if !self.node.is_document_confirmed() => {
+            Some(_) if !self.node.is_document_validated() => {
                 Err((RefusalCode::Busy, "not run: whether the key is still valid cannot be told"))
             }
             Some(team) => Ok((route, team)),
@@ -382,7 +382,7 @@
 const OPEN_TEAM: &str = "-";
 
 /// Reads until a whole line is there; none at the end of the stream or past the longest line.
-async fn next_line<E: EngineEdge>(
+async fn next_line<E: EngineTypes>(
     input: &mut LineBuffer,
     reader: &mut OwnedReadHalf,
 ) -> Option<usize> {
--- a/crates/engine/src/holder.rs
+++ b/crates/engine/src/connection_owner.rs
@@ -20,12 +20,14 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{sleep, timeout};
 
+use crate::endpoint_connection::{
+    CONNECT_TIMEOUT, EndpointConnection, EndpointError, OPEN_TIMEOUT,
+};
+use crate::instance::{EngineTypes, GatewayInstance};
 use crate::link::{ControlStatement, RefusalCode, WireCodec};
-use crate::member::{CONNECT_TIMEOUT, MemberConnection, MemberError, OPEN_TIMEOUT};
 use crate::message::{
     ExecuteCall, ExecuteOutcome, ExecuteReply, HoldReason, StatementAnswer, millis,
 };
-use crate::node::{EngineEdge, GatewayNode};
 use crate::pool::{
     EndpointPool, IdleConnection, PinnedConnection, RETRY_PAUSE, RunPermit, TakeError, take_idle,
     take_oldest_idle,
@@ -53,16 +55,16 @@
 
 /// Connections that this instance holds.
 #[derive(Debug, Default)]
-pub struct ConnectionHolder {
+pub struct ConnectionPools {
     pools: RefCell<HashMap<String, Rc<EndpointPool>>>,
     pinned: RefCell<HashMap<(CallOrigin, u32), PinnedConnection>>,
     origins: RefCell<HashMap<CallOrigin, ()>>,
     next_origin: Cell<CallOrigin>,
 }
 
-impl ConnectionHolder {
+impl ConnectionPools {
     /// Returns a new origin for the calls of one connection to another instance.
-    pub fn open_origin(&self) -> CallOrigin {
+    pub fn register_origin(&self) -> CallOrigin {
         let origin = self.next_origin.get() + 1;
         self.next_origin.set(origin);
         self.origins.borrow_mut().insert(origin, ());
@@ -93,7 +95,7 @@
     }
 
     /// Tells whether transactions of other instances or of this one hold connections.
-    pub fn has_pinned(&self) -> bool {
+    pub fn has_pinned_connections(&self) -> bool {
         !self.pinned.borrow().is_empty()
     }
 
@@ -102,9 +104,9 @@
     }
 }
 
-impl<E: EngineEdge> GatewayNode<E> {
+impl<E: EngineTypes> GatewayInstance<E> {
     /// Runs statements at an endpoint that this instance holds connections to.
-    pub async fn hold_execute(
+    pub async fn execute_locally(
         self: &Rc<Self>,
         origin: CallOrigin,
         call: ExecuteCall,
@@ -124,8 +126,8 @@
     }
 
     /// Rolls a transaction back and frees its connection.
-    pub fn hold_release(self: &Rc<Self>, origin: CallOrigin, channel: u32) {
-        let pinned = self.holder.pinned.borrow_mut().remove(&(origin, channel));
+    pub fn release_locally(self: &Rc<Self>, origin: CallOrigin, channel: u32) {
+        let pinned = self.pools.pinned.borrow_mut().remove(&(origin, channel));
         let Some(pinned) = pinned else {
             return;
         };
@@ -133,12 +135,12 @@
     }
 
     /// Closes the connections of all transactions of an origin that is gone.
-    pub fn close_origin(self: &Rc<Self>, origin: CallOrigin) {
-        self.holder.origins.borrow_mut().remove(&origin);
+    pub fn unregister_origin(self: &Rc<Self>, origin: CallOrigin) {
+        self.pools.origins.borrow_mut().remove(&origin);
         let channels: Vec<(CallOrigin, u32)> =
-            self.holder.pinned.borrow().keys().filter(|key| key.0 == origin).copied().collect();
+            self.pools.pinned.borrow().keys().filter(|key| key.0 == origin).copied().collect();
         for (_, channel) in channels {
-            self.hold_release(origin, channel);
+            self.release_locally(origin, channel);
         }
     }
 
@@ -154,7 +156,7 @@
             E::Codec::encode_startup(&mut startup, &service, PROBE_TEAM, endpoint);
             E::Codec::encode_control(&mut startup, ControlStatement::Status);
             let mut connection =
-                MemberConnection::open::<E::Codec>(address, &startup, OPEN_TIMEOUT).await?;
+                EndpointConnection::open::<E::Codec>(address, &startup, OPEN_TIMEOUT).await?;
             connection.read_answer::<E::Codec>().await
         };
         match timeout(PROBE_TIMEOUT, probe).await {
@@ -164,9 +166,9 @@
     }
 
     /// Closes connections that are of no use: idle for long, or of endpoints held by others.
-    pub fn tidy_connections(self: &Rc<Self>) {
+    pub fn evict_idle_connections(self: &Rc<Self>) {
         let now = self.now();
-        let pools: Vec<Rc<EndpointPool>> = self.holder.pools.borrow().values().cloned().collect();
+        let pools: Vec<Rc<EndpointPool>> = self.pools.pools.borrow().values().cloned().collect();
         for pool in pools {
             if pool.failing_since.get().is_some() {
                 // Others hold its connections meanwhile, so no request tells when it is back.
@@ -204,7 +206,7 @@
             }
             let outdated = entry_born != Some(pool.born_ms);
             if outdated && pool.open.get() == 0 {
-                self.holder.pools.borrow_mut().remove(&pool.endpoint);
+                self.pools.pools.borrow_mut().remove(&pool.endpoint);
             }
         }
     }
@@ -213,7 +215,7 @@
     fn resize_pool(&self, pool: &EndpointPool) {
         let directory = self.directory.borrow();
         let document = directory.document();
-        let reach = self.counters.borrow().reach();
+        let reach = self.quotas.borrow().reach();
         if let Some(service) = document.service(&pool.service) {
             pool.limit.set(connection_limit(service.connections, reach));
         }
@@ -226,7 +228,7 @@
     fn pool(&self, endpoint: &str) -> Option<Rc<EndpointPool>> {
         let directory = self.directory.borrow();
         let entry = directory.endpoint(endpoint)?;
-        let mut pools = self.holder.pools.borrow_mut();
+        let mut pools = self.pools.pools.borrow_mut();
         if let Some(pool) = pools.get(endpoint).filter(|pool| pool.born_ms == entry.record.born_ms)
         {
             return Some(pool.clone());
@@ -273,7 +275,7 @@
             }
         };
         let mut connection = if call.pinned {
-            let taken = self.holder.pinned.borrow_mut().remove(&(origin, call.channel));
+            let taken = self.pools.pinned.borrow_mut().remove(&(origin, call.channel));
             match taken {
                 Some(pinned) => pinned.connection,
                 None => return not_sent(HoldReason::PinLost, Duration::ZERO),
@@ -347,7 +349,7 @@
         pool: &Rc<EndpointPool>,
         call: &ExecuteCall,
         latest: Instant,
-    ) -> Result<MemberConnection, TakeError> {
+    ) -> Result<EndpointConnection, TakeError> {
         loop {
             let now = self.now();
             if let Some(idle) = take_idle(pool, &call.team) {
@@ -386,12 +388,12 @@
         pool: &Rc<EndpointPool>,
         team: &str,
         limit: Duration,
-    ) -> Result<MemberConnection, TakeError> {
+    ) -> Result<EndpointConnection, TakeError> {
         pool.open.set(pool.open.get() + 1);
         pool.tried_at.set(Some(self.now()));
         let mut startup = Vec::new();
         E::Codec::encode_startup(&mut startup, &pool.service, team, &pool.endpoint);
-        let opened = MemberConnection::open::<E::Codec>(pool.address, &startup, limit).await;
+        let opened = EndpointConnection::open::<E::Codec>(pool.address, &startup, limit).await;
         let now = self.now();
         match opened {
             Ok(connection) => {
@@ -401,7 +403,7 @@
             Err(error) => {
                 pool.open.set(pool.open.get().saturating_sub(1));
                 pool.freed.notify_one();
-                if let MemberError::Refused {
+                if let EndpointError::Refused {
                     code: RefusalCode::TooManyConnections | RefusalCode::Busy,
                 } = error
                 {
@@ -409,17 +411,17 @@
                     return Err(TakeError::Full);
                 }
                 // A request with little time left proves nothing about the endpoint.
-                if limit >= CONNECT_TIMEOUT || !matches!(error, MemberError::ConnectTimeout) {
+                if limit >= CONNECT_TIMEOUT || !matches!(error, EndpointError::ConnectTimeout) {
                     pool.note_failed(now, &error);
                 }
-                self.announced.notify_waiters();
+                self.status_changed.notify_waiters();
                 Err(TakeError::Unreachable)
             }
         }
     }
 
     /// Lets an idle connection prove that it still works.
-    async fn prove(&self, mut connection: MemberConnection) -> Option<MemberConnection> {
+    async fn prove(&self, mut connection: EndpointConnection) -> Option<EndpointConnection> {
         let mut bytes = Vec::new();
         E::Codec::encode_control(&mut bytes, ControlStatement::Reset);
         connection.setup = 0;
@@ -435,7 +437,7 @@
     async fn exchange(
         self: &Rc<Self>,
         pool: &Rc<EndpointPool>,
-        connection: &mut MemberConnection,
+        connection: &mut EndpointConnection,
         call: &ExecuteCall,
     ) -> Option<Vec<StatementAnswer>> {
         let prepares = call.pinned || connection.setup != call.setup;
@@ -480,7 +482,7 @@
     async fn watched_answer(
         self: &Rc<Self>,
         pool: &Rc<EndpointPool>,
-        connection: &mut MemberConnection,
+        connection: &mut EndpointConnection,
         call: &ExecuteCall,
     ) -> Option<StatementAnswer> {
         let reading = connection.read_answer::<E::Codec>();
@@ -522,10 +524,10 @@
             let now = node.now();
             if reached {
                 pool.note_reached(now);
-                node.announced.notify_waiters();
+                node.status_changed.notify_waiters();
             } else {
-                pool.note_failed(now, &MemberError::ConnectTimeout);
-                node.announced.notify_waiters();
+                pool.note_failed(now, &EndpointError::ConnectTimeout);
+                node.status_changed.notify_waiters();
                 pool.tried_at.set(Some(now));
             }
             pool.probing.set(false);
@@ -551,7 +553,7 @@
             (None, Some(position)) => {
                 let mark = ProvedMark { asked_at, position };
                 if directory.note_leader(&pool.endpoint, mark) {
-                    self.announced.notify_waiters();
+                    self.status_changed.notify_waiters();
                     log_event!(
                         LogEvent::PrimaryChanged,
                         "service={} endpoint={} term={}",
@@ -574,17 +576,17 @@
         pool: &Rc<EndpointPool>,
         origin: CallOrigin,
         call: &ExecuteCall,
-        connection: MemberConnection,
+        connection: EndpointConnection,
         answers: &[StatementAnswer],
     ) {
         let state = answers.last().map_or(BlockState::Failed, |answer| answer.state);
         let pinned = PinnedConnection { pool: pool.clone(), team: call.team.clone(), connection };
         // A refused statement may leave the transaction open, but its caller gives it up.
         let failed = answers.iter().any(|answer| answer.error.is_some());
-        let kept = call.keeps && !failed && self.holder.is_open(origin);
+        let kept = call.keeps && !failed && self.pools.is_open(origin);
         match state {
             BlockState::Open if kept => {
-                self.holder.pinned.borrow_mut().insert((origin, call.channel), pinned);
+                self.pools.pinned.borrow_mut().insert((origin, call.channel), pinned);
             }
             BlockState::Idle => self.rest(pinned),
             BlockState::Open | BlockState::Failed => self.roll_back(pinned),
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -7,25 +7,25 @@
 use telemetry::event::LogEvent;
 use telemetry::log_event;
 
+use crate::instance::{EngineTypes, GatewayInstance};
 use crate::link::RefusalCode;
 use crate::message::{
     ExecuteCall, ExecuteOutcome, ExecuteReply, HoldReason, StatementAnswer, millis,
 };
-use crate::node::{EngineEdge, GatewayNode};
 
 /// Holders tried for statements that none has sent yet.
 const TRIED_HOLDERS: usize = 3;
 
 /// Reply with the instance that gave it.
 #[derive(Debug)]
-pub struct HeldReply {
+pub struct OwnerReply {
     /// Instance that holds the connection.
-    pub holder: String,
+    pub owner: String,
     /// Its reply.
     pub reply: ExecuteReply,
 }
 
-impl<E: EngineEdge> GatewayNode<E> {
+impl<E: EngineTypes> GatewayInstance<E> {
     /// Runs statements through the first holder that reaches the endpoint.
     ///
     /// They start before `latest_start` and are answered before `deadline`, or not at all.
@@ -34,7 +34,7 @@
         mut call: ExecuteCall,
         latest_start: Instant,
         deadline: Instant,
-    ) -> HeldReply {
+    ) -> OwnerReply {
         let mut last = None;
         for holder in self.holders_of(&call.endpoint).into_iter().take(TRIED_HOLDERS) {
             let now = self.now();
@@ -53,7 +53,7 @@
                     ..
                 }
             );
-            let held = HeldReply { holder, reply };
+            let held = OwnerReply { owner: holder, reply };
             if !goes_on {
                 return held;
             }
@@ -62,7 +62,7 @@
         last.unwrap_or_else(|| {
             let outcome = ExecuteOutcome::NotSent { reason: HoldReason::NoHolder, retry_ms: 0 };
             let reply = ExecuteReply { outcome, queue_ms: 0, mark: None };
-            HeldReply { holder: self.name().to_owned(), reply }
+            OwnerReply { owner: self.name().to_owned(), reply }
         })
     }
 
@@ -70,7 +70,7 @@
     pub async fn dispatch_to(self: &Rc<Self>, holder: &str, call: ExecuteCall) -> ExecuteReply {
         let endpoint = call.endpoint.clone();
         if holder == self.name() {
-            let reply = self.hold_execute(0, call).await;
+            let reply = self.execute_locally(0, call).await;
             self.learn_queue(&endpoint, &reply);
             return reply;
         }
@@ -98,7 +98,7 @@
     /// Ends a transaction at the instance that holds its connection.
     pub fn dispatch_release(self: &Rc<Self>, holder: &str, channel: u32) {
         if holder == self.name() {
-            self.hold_release(0, channel);
+            self.release_locally(0, channel);
         } else if let Some(link) = self.peers.link(holder) {
             link.release(channel);
         }
@@ -128,7 +128,12 @@
     }
 
     /// Learns from the proof that a statement carried whether the endpoint leads.
-    pub(crate) fn learn_leader(&self, endpoint: &str, proof: &StatementAnswer, sent_at: Instant) {
+    pub(crate) fn observe_leadership(
+        &self,
+        endpoint: &str,
+        proof: &StatementAnswer,
+        sent_at: Instant,
+    ) {
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
         match (proof.error, proof.position) {
--- a/crates/engine/src/member.rs
+++ b/crates/engine/src/endpoint_connection.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::lines::LineBuffer;
+use crate::line_buffer::LineBuffer;
 use crate::link::{AnswerLine, RefusalCode, WireCodec};
 use crate::message::StatementAnswer;
 
@@ -21,7 +21,7 @@
 
 /// Failure of a connection to an endpoint.
 #[derive(Debug, Snafu)]
-pub enum MemberError {
+pub enum EndpointError {
     /// The connection did not open in time.
     #[snafu(display("no connection in time"))]
     ConnectTimeout,
@@ -47,20 +47,20 @@
 
 /// Open connection to an endpoint, on behalf of one team for good.
 #[derive(Debug)]
-pub struct MemberConnection {
+pub struct EndpointConnection {
     stream: TcpStream,
     input: LineBuffer,
     /// Session values and names that it has; zero for none.
     pub setup: u64,
 }
 
-impl MemberConnection {
+impl EndpointConnection {
     /// Opens a connection and a session on it within `limit`.
     pub async fn open<C: WireCodec>(
         address: SocketAddr,
         startup: &[u8],
         limit: Duration,
-    ) -> Result<Self, MemberError> {
+    ) -> Result<Self, EndpointError> {
         let opening = Self::open_unbounded::<C>(address, startup);
         timeout(limit, opening).await.unwrap_or_else(|_| ConnectTimeoutSnafu.fail())
     }
@@ -68,14 +68,14 @@
     async fn open_unbounded<C: WireCodec>(
         address: SocketAddr,
         startup: &[u8],
-    ) -> Result<Self, MemberError> {
+    ) -> Result<Self, EndpointError> {
         let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = match opened {
             Err(_) => return ConnectTimeoutSnafu.fail(),
-            Ok(Err(source)) => return Err(MemberError::Io { source }),
+            Ok(Err(source)) => return Err(EndpointError::Io { source }),
             Ok(Ok(stream)) => stream,
         };
-        stream.set_nodelay(true).map_err(|source| MemberError::Io { source })?;
+        stream.set_nodelay(true).map_err(|source| EndpointError::Io { source })?;
         let mut connection = Self { stream, input: LineBuffer::default(), setup: 0 };
         connection.send(startup).await?;
         connection.read_startup::<C>().await?;
@@ -92,12 +92,12 @@
     }
 
     /// Sends bytes.
-    pub async fn send(&mut self, bytes: &[u8]) -> Result<(), MemberError> {
-        self.stream.write_all(bytes).await.map_err(|source| MemberError::Io { source })
+    pub async fn send(&mut self, bytes: &[u8]) -> Result<(), EndpointError> {
+        self.stream.write_all(bytes).await.map_err(|source| EndpointError::Io { source })
     }
 
     /// Reads the answer to one statement.
-    pub async fn read_answer<C: WireCodec>(&mut self) -> Result<StatementAnswer, MemberError> {
+    pub async fn read_answer<C: WireCodec>(&mut self) -> Result<StatementAnswer, EndpointError> {
         let mut content = Vec::new();
         let mut error = None;
         let mut completed = false;
@@ -110,7 +110,7 @@
                 AnswerLine::Content { completes } => completed |= completes,
                 AnswerLine::Error(code) => error = Some(code),
                 AnswerLine::Ready { state, position } => {
-                    self.input.drop_line(length);
+                    self.input.consume_line(length);
                     if !completed && error.is_none() {
                         return UnreadableSnafu.fail();
                     }
@@ -119,20 +119,20 @@
                 AnswerLine::Malformed => return UnreadableSnafu.fail(),
             }
             self.input.copy_line(length, &mut content);
-            self.input.drop_line(length);
+            self.input.consume_line(length);
         }
     }
 
     async fn read_startup<C: WireCodec>(
         &mut self,
-    ) -> Result<(BlockState, Option<LogPosition>), MemberError> {
+    ) -> Result<(BlockState, Option<LogPosition>), EndpointError> {
         loop {
             let Some(length) = self.input.line_length() else {
                 self.fill().await?;
                 continue;
             };
             let line = C::decode_answer(self.input.line(length));
-            self.input.drop_line(length);
+            self.input.consume_line(length);
             return match line {
                 AnswerLine::Ready { state, position } => Ok((state, position)),
                 AnswerLine::Error(code) => RefusedSnafu { code }.fail(),
@@ -141,11 +141,11 @@
         }
     }
 
-    async fn fill(&mut self) -> Result<(), MemberError> {
+    async fn fill(&mut self) -> Result<(), EndpointError> {
         match self.input.fill(&mut self.stream).await {
             Ok(0) => ClosedSnafu.fail(),
             Ok(_) => Ok(()),
-            Err(source) => Err(MemberError::Io { source }),
+            Err(source) => Err(EndpointError::Io { source }),
         }
     }
 }
--- a/crates/engine/src/node.rs
+++ b/crates/engine/src/instance.rs
@@ -12,8 +12,8 @@
 use telemetry::log_event;
 use tokio::sync::Notify;
 
+use crate::connection_owner::ConnectionPools;
 use crate::directory::FleetDirectory;
-use crate::holder::ConnectionHolder;
 use crate::link::{PlatformLink, RowChange, WireCodec};
 use crate::message::InstanceStatus;
 use crate::peer::PeerTable;
@@ -21,7 +21,7 @@
 use crate::tables::TableCopies;
 
 /// Choice of platform and protocol.
-pub trait EngineEdge: 'static {
+pub trait EngineTypes: 'static {
     /// Services of the platform.
     type Platform: PlatformLink;
     /// Protocol of callers and endpoints.
@@ -38,9 +38,9 @@
     /// The whole system starts for the first time.
     pub first_start: bool,
     /// Time from the signal to stop until the process is killed.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// Time after which a leaving endpoint gets no new work.
-    pub drain_limit: Duration,
+    pub drain_timeout: Duration,
     /// Time within which a new document must be in force.
     pub document_bound: Duration,
     /// Time within which a withdrawn key must stop working on every instance, also on those cut off;
@@ -54,7 +54,7 @@
 const FIRST_START_TIME: Duration = Duration::from_secs(20);
 
 /// One instance.
-pub struct GatewayNode<E: EngineEdge> {
+pub struct GatewayInstance<E: EngineTypes> {
     /// Settings.
     pub settings: EngineSettings,
     /// Time.
@@ -66,66 +66,66 @@
     /// Copies of the platform's tables.
     pub tables: RefCell<TableCopies>,
     /// Proofs that the document in force is the newest.
-    pub confirmation: RefCell<ConfirmationMachine>,
+    pub validation: RefCell<ConfirmationMachine>,
     /// Other instances.
     pub peers: PeerTable,
     /// Connections to endpoints.
-    pub holder: ConnectionHolder,
+    pub pools: ConnectionPools,
     /// Team limits that this instance counts.
-    pub counters: RefCell<TeamCounters>,
+    pub quotas: RefCell<TeamCounters>,
     /// Wakes whoever tells other instances the status.
-    pub announced: Notify,
+    pub status_changed: Notify,
     /// Open sessions of callers.
     pub callers: Cell<usize>,
-    grace: Cell<Duration>,
+    grace_period: Cell<Duration>,
     started_at: Instant,
     leaving_since: Cell<Option<Instant>>,
     leave_signal: Notify,
     store_reached: Cell<bool>,
     confirmed: Cell<bool>,
-    duty: Cell<Option<u64>>,
+    promotion_token: Cell<Option<u64>>,
     next_channel: Cell<u32>,
     next_session: Cell<u32>,
 }
 
-impl<E: EngineEdge> GatewayNode<E> {
+impl<E: EngineTypes> GatewayInstance<E> {
     /// Creates an instance that knows nothing yet.
     pub fn new(settings: EngineSettings, clock: SharedClock, platform: E::Platform) -> Rc<Self> {
         let started_at = clock.now();
-        let directory = FleetDirectory::new(settings.drain_limit);
+        let directory = FleetDirectory::new(settings.drain_timeout);
         Rc::new(Self {
             peers: PeerTable::new(settings.record.clone()),
             directory: RefCell::new(directory),
-            grace: Cell::new(settings.grace),
-            counters: RefCell::new(TeamCounters::new(settings.limit_window)),
+            grace_period: Cell::new(settings.grace_period),
+            quotas: RefCell::new(TeamCounters::new(settings.limit_window)),
             settings,
             clock,
             platform,
-            holder: ConnectionHolder::default(),
+            pools: ConnectionPools::default(),
             tables: RefCell::default(),
-            confirmation: RefCell::default(),
+            validation: RefCell::default(),
             confirmed: Cell::new(true),
-            announced: Notify::new(),
+            status_changed: Notify::new(),
             started_at,
             callers: Cell::new(0),
             leaving_since: Cell::new(None),
             leave_signal: Notify::new(),
             store_reached: Cell::new(false),
-            duty: Cell::new(None),
+            promotion_token: Cell::new(None),
             next_channel: Cell::new(1),
             next_session: Cell::new(1),
         })
     }
 
     /// Takes bounds that changed while the instance runs.
-    pub fn apply_bounds(&self, grace: Duration, drain_limit: Duration) {
-        self.grace.set(grace);
+    pub fn update_limits(&self, grace: Duration, drain_limit: Duration) {
+        self.grace_period.set(grace);
         self.directory.borrow_mut().set_drain_limit(drain_limit);
     }
 
     /// Returns the time from the signal to stop until the process is killed.
-    pub fn grace(&self) -> Duration {
-        self.grace.get()
+    pub fn grace_period(&self) -> Duration {
+        self.grace_period.get()
     }
 
     /// Returns the name of the instance.
@@ -140,42 +140,42 @@
 
     /// Tells whether the instance can serve callers and is not about to stop.
     pub fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.directory.borrow().is_complete() && self.is_document_confirmed()
+        !self.is_leaving() && self.directory.borrow().is_complete() && self.is_document_validated()
     }
 
     /// Tells whether keys may be accepted: no withdrawal can have been missed for too long.
-    pub fn is_document_confirmed(&self) -> bool {
-        !self.withdrawal_limit().is_some_and(|limit| self.proof_is_older(limit))
+    pub fn is_document_validated(&self) -> bool {
+        !self.max_validation_age().is_some_and(|limit| self.validation_is_older(limit))
     }
 
     /// Returns the age of a proof up to which keys may be accepted; none if keys need no proof.
-    pub fn withdrawal_limit(&self) -> Option<Duration> {
+    pub fn max_validation_age(&self) -> Option<Duration> {
         self.settings.withdrawal_bound.map(withdrawal_limit)
     }
 
     /// Tells whether withdrawn keys must stop everywhere and the document was not proved for longer
     /// than `age`.
-    pub fn proof_is_older(&self, age: Duration) -> bool {
-        let proof_age = self.confirmation.borrow().proof_age(self.now());
+    pub fn validation_is_older(&self, age: Duration) -> bool {
+        let proof_age = self.validation.borrow().proof_age(self.now());
         self.settings.withdrawal_bound.is_some() && proof_age.is_none_or(|proof| proof > age)
     }
 
     /// Records that the store, asked at `asked_at`, had no document newer than the copy here.
-    pub fn confirm_document(&self, asked_at: Instant) {
+    pub fn record_document_validation(&self, asked_at: Instant) {
         let [version, _] = self.tables.borrow().versions();
-        let mut confirmation = self.confirmation.borrow_mut();
+        let mut confirmation = self.validation.borrow_mut();
         confirmation.adopt(version);
         confirmation.record_store(asked_at, version);
     }
 
     /// Logs when the document stops or starts to be confirmed.
     pub fn watch_confirmation(&self) {
-        let confirmed = self.is_document_confirmed();
+        let confirmed = self.is_document_validated();
         if self.confirmed.replace(confirmed) == confirmed {
             return;
         }
         let version = self.directory.borrow().document().version;
-        let age = self.confirmation.borrow().proof_age(self.now());
+        let age = self.validation.borrow().proof_age(self.now());
         if confirmed {
             log_event!(LogEvent::DocumentConfirmed, "version={version} proof_age={age:?}");
         } else {
@@ -197,7 +197,7 @@
     pub fn leave(&self) {
         self.leaving_since.set(Some(self.now()));
         self.leave_signal.notify_waiters();
-        self.announced.notify_waiters();
+        self.status_changed.notify_waiters();
     }
 
     /// Waits until the instance is about to stop.
@@ -215,7 +215,7 @@
     }
 
     /// Returns a number for a transaction, unique on this instance.
-    pub fn new_channel(&self) -> u32 {
+    pub fn new_transaction_id(&self) -> u32 {
         let channel = self.next_channel.get();
         self.next_channel.set(channel.wrapping_add(1).max(1));
         channel
@@ -229,12 +229,12 @@
     }
 
     /// Records whether the store answers.
-    pub fn note_store(&self, reached: bool, detail: &str) {
+    pub fn record_store_status(&self, reached: bool, detail: &str) {
         if self.store_reached.replace(reached) == reached {
             return;
         }
         // Others rely on whoever reads the store for them.
-        self.announced.notify_waiters();
+        self.status_changed.notify_waiters();
         if reached {
             log_event!(LogEvent::PlatformFound, "service=store");
         } else {
@@ -248,14 +248,14 @@
     }
 
     /// Returns the fencing token if this instance is on duty.
-    pub fn duty(&self) -> Option<u64> {
-        self.duty.get()
+    pub fn promotion_token(&self) -> Option<u64> {
+        self.promotion_token.get()
     }
 
     /// Records whether this instance is on duty.
-    pub fn set_duty(&self, token: Option<u64>) {
-        if self.duty.replace(token) != token {
-            self.announced.notify_waiters();
+    pub fn set_promotion_token(&self, token: Option<u64>) {
+        if self.promotion_token.replace(token) != token {
+            self.status_changed.notify_waiters();
             log_event!(LogEvent::DutyChanged, "token={token:?}");
         }
     }
@@ -266,15 +266,15 @@
         InstanceStatus {
             leaving: self.is_leaving(),
             tables: self.tables.borrow().versions(),
-            duty: self.duty.get(),
+            duty: self.promotion_token.get(),
             store_reached: self.store_reached.get(),
-            failing: self.holder.failing(),
+            failing: self.pools.failing(),
             leaders: directory.leaders(),
         }
     }
 
     /// Takes a change of a watched row.
-    pub fn apply(&self, change: RowChange) {
+    pub fn apply_row_change(&self, change: RowChange) {
         let now = self.now();
         match change {
             RowChange::Document(document) => {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -3,22 +3,22 @@
 //! The decisions are in `coord`; this crate performs their input and output over the edges in
 //! [`link`].
 
+pub mod admission;
 pub mod caller;
-pub mod channel;
+pub mod connection_owner;
 pub mod directory;
 pub mod dispatch;
-pub mod holder;
-pub mod limits;
-pub mod lines;
+pub mod endpoint_connection;
+pub mod instance;
+pub mod lifecycle;
+pub mod line_buffer;
 pub mod link;
-pub mod member;
 pub mod message;
-pub mod node;
 pub mod operation;
 pub mod peer;
+pub mod peer_link;
 mod pool;
 pub mod record;
-pub mod run;
 pub mod steward;
 pub mod tables;
 pub mod watch;
--- a/crates/engine/src/run.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -10,8 +10,8 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
+use crate::instance::{EngineTypes, GatewayInstance};
 use crate::link::{PlatformLink, WatchedTable};
-use crate::node::{EngineEdge, GatewayNode};
 
 /// Part of the grace period after which the instance ends whatever is still open.
 const STOP_PART: f64 = 0.85;
@@ -32,7 +32,7 @@
     source: std::io::Error,
 }
 
-impl<E: EngineEdge> GatewayNode<E> {
+impl<E: EngineTypes> GatewayInstance<E> {
     /// Starts all tasks of the instance on the current local set.
     pub async fn start(self: &Rc<Self>) -> Result<(), ListenError> {
         let address = self.settings.record.address;
@@ -46,16 +46,16 @@
         tokio::task::spawn_local(self.clone().keep_registered());
         tokio::task::spawn_local(self.clone().heal_tables());
         tokio::task::spawn_local(self.clone().ping_peers());
-        tokio::task::spawn_local(self.clone().observe_reach());
+        tokio::task::spawn_local(self.clone().track_reachability());
         tokio::task::spawn_local(self.clone().serve_duty());
         let node = self.clone();
         tokio::task::spawn_local(async move {
             loop {
                 sleep(TIDY_PERIOD).await;
-                node.tidy_connections();
+                node.evict_idle_connections();
                 node.watch_confirmation();
                 gauge!(meter::CALLERS).set(node.callers.get() as f64);
-                gauge!(meter::ENDPOINT_WORK).set(node.holder.work() as f64);
+                gauge!(meter::ENDPOINT_WORK).set(node.pools.work() as f64);
             }
         });
         Ok(())
@@ -72,10 +72,10 @@
         if let Ok(Err(error)) = &removed {
             log_event!(LogEvent::PlatformLost, "step=unregister cause=\"{error}\"");
         }
-        let latest = self.grace().mul_f64(STOP_PART);
+        let latest = self.grace_period().mul_f64(STOP_PART);
         loop {
             let over = self.now().saturating_duration_since(begun_at);
-            let open = self.callers.get() > 0 || self.holder.has_pinned();
+            let open = self.callers.get() > 0 || self.pools.has_pinned_connections();
             if over >= latest || (over >= NOTICE_TIME && !open) {
                 break;
             }
--- a/crates/engine/src/lines.rs
+++ b/crates/engine/src/line_buffer.rs
@@ -41,7 +41,7 @@
     }
 
     /// Drops the first line.
-    pub fn drop_line(&mut self, length: usize) {
+    pub fn consume_line(&mut self, length: usize) {
         self.input.advance(length + LINE_END.len());
         self.scanned = 0;
     }
--- a/crates/engine/src/operation.rs
+++ b/crates/engine/src/operation.rs
@@ -14,9 +14,9 @@
 use telemetry::{log_event, meter};
 use tokio::time::sleep;
 
+use crate::instance::{EngineTypes, GatewayInstance};
 use crate::link::{ControlStatement, RefusalCode, WireCodec};
 use crate::message::{ExecuteCall, ExecuteOutcome, HoldReason, StatementAnswer, millis};
-use crate::node::{EngineEdge, GatewayNode};
 use crate::record::{RouteConsistency, RouteRecord};
 
 /// Places at which one statement is tried.
@@ -115,7 +115,7 @@
     Lost,
 }
 
-impl<E: EngineEdge> GatewayNode<E> {
+impl<E: EngineTypes> GatewayInstance<E> {
     /// Runs a statement and tells what became of it.
     pub async fn run_statement(
         self: &Rc<Self>,
@@ -261,17 +261,17 @@
     ) -> TryOutcome {
         let shape = shape_statement::<E::Codec>(context, leads, needed);
         let (answer, proof, keeps) = (shape.answer, shape.proof, shape.keeps);
-        let channel = if keeps { self.new_channel() } else { 0 };
+        let channel = if keeps { self.new_transaction_id() } else { 0 };
         let call = self.build_call(context, endpoint, shape, channel);
         let now = self.now();
         let held = self.dispatch(call, soft, deadline).await;
         match held.reply.outcome {
             ExecuteOutcome::Answered(answers) => {
                 if let Some(proof) = proof.and_then(|index| answers.get(usize::from(index))) {
-                    self.learn_leader(endpoint, proof, now);
+                    self.observe_leadership(endpoint, proof, now);
                 }
                 let opened =
-                    PinnedPlace { holder: held.holder, endpoint: endpoint.to_owned(), channel };
+                    PinnedPlace { holder: held.owner, endpoint: endpoint.to_owned(), channel };
                 judge(context, answers, answer, keeps.then_some(opened))
             }
             ExecuteOutcome::NotSent { reason, retry_ms } => TryOutcome::Again {
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -15,9 +15,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-use crate::channel::{OutputQueue, PeerLink, SILENCE_LIMIT, StatusTeller, close_link};
+use crate::instance::{EngineTypes, GatewayInstance};
 use crate::message::{DocumentProof, InstanceStatus, PeerReply, PeerRequest, decode, millis};
-use crate::node::{EngineEdge, GatewayNode};
+use crate::peer_link::{OutputQueue, PING_TIMEOUT, PeerLink, StatusPublisher, close_link};
 use crate::record::InstanceRecord;
 
 /// Time in which a connection to another instance must open.
@@ -87,7 +87,7 @@
     }
 }
 
-impl<E: EngineEdge> GatewayNode<E> {
+impl<E: EngineTypes> GatewayInstance<E> {
     /// Returns the instances that may hold an endpoint's connections, the first choice first.
     ///
     /// Those that cannot reach it come last, so that all instances agree on another one.
@@ -97,7 +97,7 @@
         let mut holders = self.peers.holders(endpoint, zone, self.is_leaving());
         holders.sort_by_key(|name| {
             if name == self.name() {
-                return self.holder.failing_since(endpoint).is_some();
+                return self.pools.failing_since(endpoint).is_some();
             }
             let link = self.peers.link(name);
             link.is_some_and(|link| {
@@ -117,7 +117,7 @@
             return;
         }
         if let Some(link) = known {
-            link.dropped.set(true);
+            link.superseded.set(true);
             close_link(&link);
         }
         let link = Rc::new(PeerLink::new(record, self.now()));
@@ -128,19 +128,19 @@
 
     /// Keeps a connection to another instance open until it is gone for good.
     async fn keep_link(self: Rc<Self>, link: Rc<PeerLink>) {
-        while !link.dropped.get() {
+        while !link.superseded.get() {
             let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(link.record.address)).await;
             if let Ok(Ok(stream)) = opened {
                 self.serve_link(&link, stream).await;
             }
             let now = self.now();
-            let lost_at = link.lost_at.get().unwrap_or(now);
+            let lost_at = link.unreachable_since.get().unwrap_or(now);
             if now.saturating_duration_since(lost_at) > MOURNING_TIME {
                 break;
             }
             sleep(RECONNECT_PAUSE).await;
         }
-        if !link.dropped.get() {
+        if !link.superseded.get() {
             self.peers.links.borrow_mut().remove(&link.record.name);
             log_event!(LogEvent::PeerForgotten, "instance={}", link.record.name);
         }
@@ -152,18 +152,18 @@
         let (reader, writer) = stream.into_split();
         let output = Rc::new(OutputQueue::default());
         output.push(&PeerRequest::Hello(self.settings.record.clone()));
-        link.heard_at.set(None);
+        link.last_response_at.set(None);
         link.status_version.set(0);
-        link.asked_at.set(None);
-        *link.connection.borrow_mut() = Some(output.clone());
+        link.unanswered_since.set(None);
+        *link.open_output.borrow_mut() = Some(output.clone());
         tokio::select! {
             () = output.drain(writer) => {}
             () = self.read_link(link, &output, reader) => {}
         }
-        *link.connection.borrow_mut() = None;
+        *link.open_output.borrow_mut() = None;
         close_link(link);
-        if link.lost_at.get().is_none() {
-            link.lost_at.set(Some(self.now()));
+        if link.unreachable_since.get().is_none() {
+            link.unreachable_since.set(Some(self.now()));
             log_event!(LogEvent::PeerLost, "instance={}", link.record.name);
         }
     }
@@ -177,28 +177,29 @@
             sleep(PING_TICK).await;
             let now = self.now();
             let needs_proof =
-                self.withdrawal_limit().is_some_and(|limit| self.proof_is_older(limit / 2));
+                self.max_validation_age().is_some_and(|limit| self.validation_is_older(limit / 2));
             let links: Vec<Rc<PeerLink>> = self.peers.links.borrow().values().cloned().collect();
             for link in links {
-                let Some(output) = link.connection.borrow().clone() else {
+                let Some(output) = link.open_output.borrow().clone() else {
                     continue;
                 };
                 let older = |at: Option<Instant>, limit: Duration| {
                     at.is_some_and(|at| now.saturating_duration_since(at) > limit)
                 };
-                if older(link.asked_at.get(), SILENCE_LIMIT) {
+                if older(link.unanswered_since.get(), PING_TIMEOUT) {
                     output.close();
                     continue;
                 }
-                let quiet =
-                    link.heard_at.get().is_none() || older(link.heard_at.get(), IDLE_PERIOD);
-                if quiet || needs_proof || link.has_calls() {
-                    let number = link.call_number();
+                let quiet = link.last_response_at.get().is_none()
+                    || older(link.last_response_at.get(), IDLE_PERIOD);
+                if quiet || needs_proof || link.has_pending_calls() {
+                    let number = link.next_call_number();
                     output.push(&PeerRequest::Ping { number, known: link.status_version.get() });
-                    if link.proof_ping.get().is_none_or(|(_, at)| older(Some(at), IDLE_PERIOD)) {
-                        link.proof_ping.set(Some((number, now)));
+                    if link.validation_ping.get().is_none_or(|(_, at)| older(Some(at), IDLE_PERIOD))
+                    {
+                        link.validation_ping.set(Some((number, now)));
                     }
-                    link.asked_at.set(link.asked_at.get().or(Some(now)));
+                    link.unanswered_since.set(link.unanswered_since.get().or(Some(now)));
                 }
             }
         }
@@ -224,7 +225,7 @@
                         if let PeerReply::Pong { number, proof: Some(proof), .. } = &reply {
                             self.hear_proof(link, *number, *proof);
                         }
-                        link.take_reply(reply);
+                        link.handle_reply(reply);
                     }
                     Ok(None) => break,
                     Err(error) => {
@@ -240,9 +241,9 @@
     }
 
     fn hear(&self, link: &PeerLink, output: &Rc<OutputQueue>) {
-        link.heard_at.set(Some(self.now()));
-        link.asked_at.set(None);
-        if link.lost_at.take().is_some() {
+        link.last_response_at.set(Some(self.now()));
+        link.unanswered_since.set(None);
+        if link.unreachable_since.take().is_some() {
             *link.output.borrow_mut() = Some(output.clone());
             log_event!(LogEvent::PeerFound, "instance={}", link.record.name);
         }
@@ -250,13 +251,13 @@
 
     /// Takes another instance's proof of its document, counted from before it was asked.
     fn hear_proof(&self, link: &PeerLink, number: u32, proof: DocumentProof) {
-        let Some((_, asked_at)) = link.proof_ping.get().filter(|(asked, _)| *asked == number)
+        let Some((_, asked_at)) = link.validation_ping.get().filter(|(asked, _)| *asked == number)
         else {
             return;
         };
-        link.proof_ping.set(None);
+        link.validation_ping.set(None);
         let [version, _] = self.tables.borrow().versions();
-        let mut confirmation = self.confirmation.borrow_mut();
+        let mut confirmation = self.validation.borrow_mut();
         confirmation.adopt(version);
         let word = PeerWord::Answered {
             version: proof.version,
@@ -269,7 +270,7 @@
     /// Returns the proof of the own document for other instances.
     fn document_proof(&self) -> Option<DocumentProof> {
         self.settings.withdrawal_bound?;
-        let confirmation = self.confirmation.borrow();
+        let confirmation = self.validation.borrow();
         let age = confirmation.proof_age(self.now())?;
         Some(DocumentProof { version: confirmation.version(), age_ms: millis(age) + 1 })
     }
@@ -306,22 +307,22 @@
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
         let output = Rc::new(OutputQueue::default());
-        let origin = self.holder.open_origin();
-        let teller = StatusTeller::default();
+        let origin = self.pools.register_origin();
+        let teller = StatusPublisher::default();
         tokio::select! {
             () = output.drain(writer) => {}
             () = self.read_peer(origin, &output, &teller, reader) => {}
             () = self.announce_status(&output, &teller) => {}
         }
         output.close();
-        self.close_origin(origin);
+        self.unregister_origin(origin);
     }
 
     async fn read_peer(
         self: &Rc<Self>,
         origin: u64,
         output: &Rc<OutputQueue>,
-        teller: &StatusTeller,
+        teller: &StatusPublisher,
         mut reader: OwnedReadHalf,
     ) {
         let mut input = BytesMut::new();
@@ -344,7 +345,7 @@
                 match request {
                     PeerRequest::Ping { number, known } => {
                         teller.refresh(self.status());
-                        teller.tell(output, number, known, self.document_proof());
+                        teller.publish(output, number, known, self.document_proof());
                     }
                     other => self.take_request(origin, output, other),
                 }
@@ -353,12 +354,12 @@
     }
 
     /// Tells the status as soon as it changes in a way that others must know at once.
-    async fn announce_status(&self, output: &OutputQueue, teller: &StatusTeller) {
+    async fn announce_status(&self, output: &OutputQueue, teller: &StatusPublisher) {
         loop {
-            self.announced.notified().await;
+            self.status_changed.notified().await;
             let known = teller.version.get();
             if teller.refresh(self.status()) {
-                teller.tell(output, 0, known, None);
+                teller.publish(output, 0, known, None);
             }
         }
     }
@@ -370,14 +371,14 @@
             PeerRequest::Ping { .. } => {}
             PeerRequest::Execute { call, body } => {
                 tokio::task::spawn_local(async move {
-                    let body = Box::new(node.hold_execute(origin, *body).await);
+                    let body = Box::new(node.execute_locally(origin, *body).await);
                     output.push(&PeerReply::Execute { call, body });
                 });
             }
-            PeerRequest::Release { channel } => self.hold_release(origin, channel),
+            PeerRequest::Release { channel } => self.release_locally(origin, channel),
             PeerRequest::Count { call, team, level, patience_ms } => {
                 let patience = Duration::from_millis(patience_ms.into());
-                let answer = self.count_here(&team, level, patience);
+                let answer = self.admit_locally(&team, level, patience);
                 output.push(&PeerReply::Count { call, answer });
             }
             PeerRequest::Probe { call, endpoint } => {
--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/peer_link.rs
@@ -22,7 +22,7 @@
 use crate::tables::StoredRow;
 
 /// Time without an answer to a ping after which another instance counts as lost.
-pub(crate) const SILENCE_LIMIT: Duration = Duration::from_millis(500);
+pub(crate) const PING_TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes waiting for a connection above which it counts as stuck.
 const OUTPUT_LIMIT: usize = 8 << 20;
 
@@ -72,12 +72,12 @@
 
 /// Status as told on one connection.
 #[derive(Debug, Default)]
-pub(crate) struct StatusTeller {
+pub(crate) struct StatusPublisher {
     pub(crate) told: RefCell<InstanceStatus>,
     pub(crate) version: Cell<u32>,
 }
 
-impl StatusTeller {
+impl StatusPublisher {
     /// Takes the present status; tells whether it has changed.
     pub(crate) fn refresh(&self, status: InstanceStatus) -> bool {
         let changed = self.version.get() == 0 || *self.told.borrow() != status;
@@ -89,7 +89,7 @@
     }
 
     /// Answers a ping, or tells the status without one; with the status if the other side lacks it.
-    pub(crate) fn tell(
+    pub(crate) fn publish(
         &self,
         output: &OutputQueue,
         number: u32,
@@ -123,16 +123,16 @@
     pub(crate) pending: RefCell<PendingCalls>,
     pub(crate) next_call: Cell<u32>,
     /// Open connection, whether the other instance has answered on it or not.
-    pub(crate) connection: RefCell<Option<Rc<OutputQueue>>>,
-    pub(crate) heard_at: Cell<Option<Instant>>,
+    pub(crate) open_output: RefCell<Option<Rc<OutputQueue>>>,
+    pub(crate) last_response_at: Cell<Option<Instant>>,
     /// Time of the first ping that was not answered.
-    pub(crate) asked_at: Cell<Option<Instant>>,
+    pub(crate) unanswered_since: Cell<Option<Instant>>,
     /// Number and time of the ping whose answer may carry a proof.
-    pub(crate) proof_ping: Cell<Option<(u32, Instant)>>,
-    pub(crate) lost_at: Cell<Option<Instant>>,
+    pub(crate) validation_ping: Cell<Option<(u32, Instant)>>,
+    pub(crate) unreachable_since: Cell<Option<Instant>>,
     pub(crate) status_version: Cell<u32>,
     pub(crate) status: RefCell<InstanceStatus>,
-    pub(crate) dropped: Cell<bool>,
+    pub(crate) superseded: Cell<bool>,
 }
 
 impl PeerLink {
@@ -142,20 +142,20 @@
             output: RefCell::default(),
             pending: RefCell::default(),
             next_call: Cell::new(1),
-            connection: RefCell::default(),
-            heard_at: Cell::new(None),
-            asked_at: Cell::new(None),
-            proof_ping: Cell::new(None),
-            lost_at: Cell::new(Some(now)),
+            open_output: RefCell::default(),
+            last_response_at: Cell::new(None),
+            unanswered_since: Cell::new(None),
+            validation_ping: Cell::new(None),
+            unreachable_since: Cell::new(Some(now)),
             status_version: Cell::new(0),
             status: RefCell::default(),
-            dropped: Cell::new(false),
+            superseded: Cell::new(false),
         }
     }
 
     /// Tells whether the other instance answers.
     pub fn is_live(&self) -> bool {
-        self.lost_at.get().is_none()
+        self.unreachable_since.get().is_none()
     }
 
     /// Returns what the other instance told last.
@@ -163,12 +163,12 @@
         self.status.borrow().clone()
     }
 
-    pub(crate) fn has_calls(&self) -> bool {
+    pub(crate) fn has_pending_calls(&self) -> bool {
         let pending = self.pending.borrow();
         !pending.execute.is_empty() || !pending.count.is_empty()
     }
 
-    pub(crate) fn call_number(&self) -> u32 {
+    pub(crate) fn next_call_number(&self) -> u32 {
         let call = self.next_call.get();
         self.next_call.set(call.wrapping_add(1));
         call
@@ -179,7 +179,7 @@
         if self.output.borrow().is_none() {
             return not_held();
         }
-        let limit = Duration::from_millis(u64::from(body.answer_within_ms)) + SILENCE_LIMIT;
+        let limit = Duration::from_millis(u64::from(body.answer_within_ms)) + PING_TIMEOUT;
         let request = |call| PeerRequest::Execute { call, body: Box::new(body) };
         let reply = self.ask(|pending| &mut pending.execute, limit, request).await;
         let lost = ExecuteReply { outcome: ExecuteOutcome::Lost, queue_ms: 0, mark: None };
@@ -211,7 +211,7 @@
     }
 
     /// Fetches the other instance's copy of a table; none without an answer in time.
-    pub async fn table(
+    pub async fn fetch_table(
         &self,
         table: WatchedTable,
         limit: Duration,
@@ -227,7 +227,7 @@
         limit: Duration,
         request: impl FnOnce(u32) -> PeerRequest,
     ) -> Option<T> {
-        let call = self.call_number();
+        let call = self.next_call_number();
         let (sender, receiver) = oneshot::channel();
         waiters(&mut self.pending.borrow_mut()).insert(call, sender);
         self.send(&request(call));
@@ -243,7 +243,7 @@
         }
     }
 
-    pub(crate) fn take_reply(&self, reply: PeerReply) {
+    pub(crate) fn handle_reply(&self, reply: PeerReply) {
         let mut pending = self.pending.borrow_mut();
         match reply {
             PeerReply::Pong { version, status, .. } => {
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -11,7 +11,7 @@
 use telemetry::log_event;
 use tokio::sync::{Notify, oneshot};
 
-use crate::member::{MemberConnection, MemberError};
+use crate::endpoint_connection::{EndpointConnection, EndpointError};
 
 /// Time between attempts to reach an endpoint that failed.
 pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(150);
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(crate) struct IdleConnection {
     pub(crate) team: String,
-    pub(crate) connection: MemberConnection,
+    pub(crate) connection: EndpointConnection,
     pub(crate) idle_since: Instant,
 }
 
@@ -31,7 +31,7 @@
 pub(crate) struct PinnedConnection {
     pub(crate) pool: Rc<EndpointPool>,
     pub(crate) team: String,
-    pub(crate) connection: MemberConnection,
+    pub(crate) connection: EndpointConnection,
 }
 
 /// Queue and connections of one endpoint.
@@ -86,7 +86,7 @@
         }
     }
 
-    pub(crate) fn close(&self, connection: MemberConnection) {
+    pub(crate) fn close(&self, connection: EndpointConnection) {
         drop(connection);
         self.open.set(self.open.get().saturating_sub(1));
         self.freed.notify_one();
@@ -99,7 +99,7 @@
         }
     }
 
-    pub(crate) fn note_failed(&self, now: Instant, cause: &MemberError) {
+    pub(crate) fn note_failed(&self, now: Instant, cause: &EndpointError) {
         if self.failing_since.get().is_none() {
             self.failing_since.set(Some(now));
             log_event!(LogEvent::MemberLost, "endpoint={} cause=\"{cause}\"", self.endpoint);
--- a/crates/engine/src/steward.rs
+++ b/crates/engine/src/steward.rs
@@ -12,8 +12,8 @@
 use telemetry::{log_event, meter};
 use tokio::time::sleep;
 
+use crate::instance::{EngineTypes, GatewayInstance};
 use crate::link::{LeaseWrite, PlatformLink, PromotionAnswer};
-use crate::node::{EngineEdge, GatewayNode};
 use crate::record::DutyLease;
 
 /// Time between looks at leaders and lease.
@@ -51,7 +51,7 @@
     tried_at: Option<Instant>,
 }
 
-impl<E: EngineEdge> GatewayNode<E> {
+impl<E: EngineTypes> GatewayInstance<E> {
     /// Keeps the duty filled and carries it out while this instance has it.
     pub async fn serve_duty(self: Rc<Self>) {
         let held = Rc::new(RefCell::new(HeldLease::default()));
@@ -67,7 +67,7 @@
                 continue;
             }
             self.keep_lease(&held, &mut vacant_since).await;
-            if self.duty().is_none() {
+            if self.promotion_token().is_none() {
                 continue;
             }
             let services: Vec<String> =
@@ -98,7 +98,7 @@
         if pausing {
             return;
         }
-        if self.duty().is_some() {
+        if self.promotion_token().is_some() {
             let ends = runs_until.unwrap_or(now);
             if now + RENEWAL_RESERVE >= ends {
                 self.renew_lease(held).await;
@@ -177,7 +177,7 @@
                 held.version = version;
                 held.runs_until = Some(asked_at + LEASE_TIME);
                 held.tried_at = None;
-                self.set_duty(Some(token));
+                self.set_promotion_token(Some(token));
             }
             Ok(LeaseWrite::Conflict) => self.lose_duty(held, "another instance wrote the lease"),
             Err(error) => {
@@ -198,19 +198,19 @@
     }
 
     fn lose_duty(&self, held: &RefCell<HeldLease>, cause: &str) {
-        if self.duty().is_some() {
+        if self.promotion_token().is_some() {
             log_event!(LogEvent::DutyRefused, "step=keep cause=\"{cause}\"");
         }
         held.borrow_mut().runs_until = None;
-        self.set_duty(None);
+        self.set_promotion_token(None);
     }
 
     /// Ends the lease early, so that another instance can take the duty at once.
     async fn give_up_duty(&self, held: &RefCell<HeldLease>) {
-        if self.duty().is_none() {
+        if self.promotion_token().is_none() {
             return;
         }
-        self.set_duty(None);
+        self.set_promotion_token(None);
         let (version, lease) = {
             let held = held.borrow();
             (held.version, DutyLease { ends_ms: 0, ..held.lease.clone() })
@@ -233,7 +233,7 @@
                 let stays = directory.endpoint(&leader).is_some_and(|entry| entry.stays());
                 let failing = |since: Instant| now.saturating_duration_since(since) >= FAILING_TIME;
                 !stays
-                    || self.holder.failing_since(&leader).is_some_and(failing)
+                    || self.pools.failing_since(&leader).is_some_and(failing)
                     || self.peers.live().iter().any(|peer| peer.status().failing.contains(&leader))
             }
         };
@@ -301,7 +301,7 @@
             let members = [endpoint.to_owned()];
             let reports = [self.probe_member(endpoint).await];
             if self.note_reports(&members, &reports).is_some() {
-                self.announced.notify_waiters();
+                self.status_changed.notify_waiters();
                 return;
             }
         }
@@ -373,7 +373,7 @@
             let store_now = held.borrow().lease.ends_ms.saturating_sub(millis(left));
             self.write_lease(held, version, store_now, token).await;
         }
-        let Some(token) = self.duty() else {
+        let Some(token) = self.promotion_token() else {
             return false;
         };
         let called = self.platform.promote(service, endpoint, self.name(), token).await;
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -6,9 +6,9 @@
 use coord::rendezvous;
 use tokio::time::sleep;
 
+use crate::instance::{EngineTypes, GatewayInstance};
 use crate::link::{LinkError, PlatformLink, WatchedTable};
 use crate::message::PeerRequest;
-use crate::node::{EngineEdge, GatewayNode};
 use crate::tables::StoredRow;
 
 /// Part of the time within which a change must be in force for which the store is asked to wait.
@@ -38,20 +38,20 @@
 /// Subject by which instances of an availability zone order themselves for reading the store.
 const READER_SUBJECT: &str = "reader";
 
-impl<E: EngineEdge> GatewayNode<E> {
+impl<E: EngineTypes> GatewayInstance<E> {
     /// Follows a table for good.
     pub async fn watch_table(self: Rc<Self>, table: WatchedTable) {
         loop {
             let asked_at = self.now();
             let version = match self.platform.read_table(table).await {
                 Ok(read) => {
-                    self.note_store(true, "");
+                    self.record_store_status(true, "");
                     self.take_table(table, read.rows, read.version);
                     self.note_current(table, asked_at);
                     read.version
                 }
                 Err(error) => {
-                    self.note_store(false, &error.to_string());
+                    self.record_store_status(false, &error.to_string());
                     sleep(RETRY_PAUSE).await;
                     continue;
                 }
@@ -64,7 +64,7 @@
     async fn follow_from(&self, table: WatchedTable, mut version: u64) {
         let bound = match table {
             WatchedTable::Document => self.settings.document_bound,
-            WatchedTable::Endpoints => self.settings.drain_limit,
+            WatchedTable::Endpoints => self.settings.drain_timeout,
         };
         let mut wait = bound.mul_f64(WAIT_PART);
         if let (WatchedTable::Document, Some(bound)) = (table, self.settings.withdrawal_bound) {
@@ -77,14 +77,14 @@
             let asked_at = self.now();
             // Whoever takes over from a reader that was cut off needs a proof at once.
             let wait = match table {
-                WatchedTable::Document if self.proof_is_older(wait.mul_f64(OLD_PROOF)) => {
+                WatchedTable::Document if self.validation_is_older(wait.mul_f64(OLD_PROOF)) => {
                     Duration::ZERO
                 }
                 WatchedTable::Document | WatchedTable::Endpoints => wait,
             };
             match self.platform.follow_table(table, version, wait, wait + ANSWER_RESERVE).await {
                 Ok(read) => {
-                    self.note_store(true, "");
+                    self.record_store_status(true, "");
                     version = read.version.max(version);
                     self.pass_on(table, &read.rows);
                     self.take_rows(table, read.rows);
@@ -92,7 +92,7 @@
                 }
                 Err(LinkError::HistoryGone) => return,
                 Err(error) => {
-                    self.note_store(false, &error.to_string());
+                    self.record_store_status(false, &error.to_string());
                     sleep(RETRY_PAUSE).await;
                 }
             }
@@ -102,7 +102,7 @@
     /// Records that the store had nothing newer than the copy of a table when it was asked.
     fn note_current(&self, table: WatchedTable, asked_at: Instant) {
         match table {
-            WatchedTable::Document => self.confirm_document(asked_at),
+            WatchedTable::Document => self.record_document_validation(asked_at),
             WatchedTable::Endpoints => {}
         }
     }
@@ -147,7 +147,7 @@
     fn apply_rows(&self, table: WatchedTable, rows: Vec<StoredRow>) {
         for row in rows {
             if let Some(change) = self.platform.decode_row(table, &row) {
-                self.apply(change);
+                self.apply_row_change(change);
             }
         }
     }
@@ -155,7 +155,7 @@
     /// Registers this instance and looks for the others.
     pub async fn keep_registered(self: Rc<Self>) {
         while let Err(error) = self.platform.write_instance(&self.settings.record).await {
-            self.note_store(false, &error.to_string());
+            self.record_store_status(false, &error.to_string());
             sleep(RETRY_PAUSE).await;
         }
         let mut pause = START_TIME;
@@ -163,7 +163,7 @@
             match self.platform.read_instances().await {
                 Ok(records) => records.into_iter().for_each(|record| self.meet(record)),
                 Err(error) => {
-                    self.note_store(false, &error.to_string());
+                    self.record_store_status(false, &error.to_string());
                     sleep(RETRY_PAUSE).await;
                     continue;
                 }
@@ -196,7 +196,7 @@
                 if !std::mem::replace(&mut behind[index], true) && own > 0 {
                     continue;
                 }
-                if let Some((rows, version)) = peer.table(table, TABLE_TIMEOUT).await {
+                if let Some((rows, version)) = peer.fetch_table(table, TABLE_TIMEOUT).await {
                     self.tables.borrow_mut().table(table).note_version(version);
                     self.take_rows(table, rows);
                     if table == WatchedTable::Endpoints {
