--- a/crates/engine/src/instance.rs
+++ b/crates/engine/src/instance.rs
@@ -45,7 +45,7 @@
     pub document_bound: Duration,
     /// Time within which a withdrawn key must stop working on every instance, also on those cut off;
     /// none if only instances that reach the store are held to it.
-    pub withdrawal_bound: Option<Duration>,
+    pub revocation_bound: Option<Duration>,
     /// Span in which the limits of teams hold.
     pub limit_window: LimitWindow,
 }
@@ -150,14 +150,14 @@
 
     /// Returns the age of a proof up to which keys may be accepted; none if keys need no proof.
     pub fn max_validation_age(&self) -> Option<Duration> {
-        self.settings.withdrawal_bound.map(withdrawal_limit)
+        self.settings.revocation_bound.map(withdrawal_limit)
     }
 
     /// Tells whether withdrawn keys must stop everywhere and the document was not proved for longer
     /// than `age`.
     pub fn validation_is_older(&self, age: Duration) -> bool {
         let proof_age = self.validation.borrow().proof_age(self.now());
-        self.settings.withdrawal_bound.is_some() && proof_age.is_none_or(|proof| proof > age)
+        self.settings.revocation_bound.is_some() && proof_age.is_none_or(|proof| proof > age)
     }
 
     /// Records that the store, asked at `asked_at`, had no document newer than the copy here.
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -269,7 +269,7 @@
 
     /// Returns the proof of the own document for other instances.
     fn document_proof(&self) -> Option<DocumentProof> {
-        self.settings.withdrawal_bound?;
+        self.settings.revocation_bound?;
         let confirmation = self.validation.borrow();
         let age = confirmation.proof_age(self.now())?;
         Some(DocumentProof { version: confirmation.version(), age_ms: millis(age) + 1 })
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -67,7 +67,7 @@
             WatchedTable::Endpoints => self.settings.drain_timeout,
         };
         let mut wait = bound.mul_f64(WAIT_PART);
-        if let (WatchedTable::Document, Some(bound)) = (table, self.settings.withdrawal_bound) {
+        if let (WatchedTable::Document, Some(bound)) = (table, self.settings.revocation_bound) {
             wait = wait.min(bound.mul_f64(PROOF_PART));
         }
         loop {
