--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -12,13 +12,13 @@
 use crate::message::CountAnswer;
 
 /// Time in which the counter of a team must answer.
-const COUNT_TIMEOUT: Duration = Duration::from_millis(150);
+const ADMISSION_TIMEOUT: Duration = Duration::from_millis(150);
 /// Counters asked before an instance counts for itself.
-const ASKED_COUNTERS: usize = 2;
+const MAX_QUOTA_OWNERS: usize = 2;
 /// Least time to state when an operation is refused.
-const LEAST_RETRY: Duration = Duration::from_millis(20);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Time between observations of who can be reached.
-const OBSERVATION_PERIOD: Duration = Duration::from_millis(200);
+const REACHABILITY_INTERVAL: Duration = Duration::from_millis(200);
 
 impl<E: EngineTypes> GatewayInstance<E> {
     /// Admits an operation of a team, or tells after which time it could be admitted.
@@ -27,20 +27,20 @@
     pub async fn admit(
         self: &Rc<Self>,
         team: &str,
-        level: UrgencyLevel,
-        patience: Duration,
+        priority: UrgencyLevel,
+        max_wait: Duration,
     ) -> Result<(), Duration> {
-        let patience = patience.min(LIMIT_PATIENCE);
+        let max_wait = max_wait.min(LIMIT_PATIENCE);
         if self.directory.borrow().document().limit(team).is_none() {
             return Ok(());
         }
-        match self.count(team, level, patience).await {
+        match self.request_admission(team, priority, max_wait).await {
             CountAnswer::Admitted { after } if after.is_zero() => Ok(()),
             CountAnswer::Admitted { after } => {
                 sleep(after).await;
                 Ok(())
             }
-            CountAnswer::Refused { retry } => Err(retry.max(LEAST_RETRY)),
+            CountAnswer::Refused { retry } => Err(retry.max(MIN_RETRY_DELAY)),
         }
     }
 
@@ -48,16 +48,22 @@
     pub fn admit_locally(
         &self,
         team: &str,
-        level: UrgencyLevel,
-        patience: Duration,
+        priority: UrgencyLevel,
+        max_wait: Duration,
     ) -> CountAnswer {
         let document = self.directory.borrow().document();
         let Some(limit) = document.limit(team) else {
             return CountAnswer::Admitted { after: Duration::ZERO };
         };
-        let (first, now) = (self.is_first_start(), self.now());
-        match self.quotas.borrow_mut().take(team, limit, document.rank(level), patience, first, now)
-        {
+        let (first_start, now) = (self.is_first_start(), self.now());
+        match self.quotas.borrow_mut().take(
+            team,
+            limit,
+            document.rank(priority),
+            max_wait,
+            first_start,
+            now,
+        ) {
             Ok(after) => CountAnswer::Admitted { after },
             Err(delay) => CountAnswer::Refused { retry: delay.retry_after },
         }
@@ -69,18 +75,18 @@
             let reached = self.peers.live().len() + 1;
             let registered = self.peers.registered();
             self.quotas.borrow_mut().observe(reached, registered, self.now());
-            sleep(OBSERVATION_PERIOD).await;
+            sleep(REACHABILITY_INTERVAL).await;
         }
     }
 
-    async fn count(
+    async fn request_admission(
         self: &Rc<Self>,
         team: &str,
-        level: UrgencyLevel,
-        patience: Duration,
+        priority: UrgencyLevel,
+        max_wait: Duration,
     ) -> CountAnswer {
         let names = self.peers.staying(self.is_leaving());
-        let order = rendezvous::first(team, names.iter().map(String::as_str), ASKED_COUNTERS);
+        let order = rendezvous::first(team, names.iter().map(String::as_str), MAX_QUOTA_OWNERS);
         for name in order {
             if name == self.name() {
                 break;
@@ -88,10 +94,12 @@
             let Some(link) = self.peers.link(name) else {
                 continue;
             };
-            if let Some(answer) = link.count(team, level, patience, COUNT_TIMEOUT).await {
+            if let Some(answer) =
+                link.request_admission(team, priority, max_wait, ADMISSION_TIMEOUT).await
+            {
                 return answer;
             }
         }
-        self.admit_locally(team, level, patience)
+        self.admit_locally(team, priority, max_wait)
     }
 }
--- a/crates/engine/src/caller.rs
+++ b/crates/engine/src/caller.rs
@@ -24,39 +24,39 @@
 /// Time in which a caller must open its session.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time for which the opening of a session waits for the first document; callers give up after 2 s.
-const DOCUMENT_PATIENCE: Duration = Duration::from_millis(1_200);
+const FIRST_DOCUMENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Time between looks for the first document.
-const DOCUMENT_PAUSE: Duration = Duration::from_millis(20);
+const DOCUMENT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Pause after an accept that failed, for want of descriptors as a rule.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 /// Time in which a caller must take an answer.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time for which the balancer may still send callers here after the instance said it leaves.
-const BALANCER_TIME: Duration = Duration::from_millis(2_300);
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2_300);
 
 /// Open session.
 struct CallerSession<E: EngineTypes> {
-    node: Rc<GatewayInstance<E>>,
+    instance: Rc<GatewayInstance<E>>,
     reader: OwnedReadHalf,
     writer: OwnedWriteHalf,
     input: LineBuffer,
     database: String,
     key: Option<String>,
-    dialogue: SessionDialogue,
-    session: u64,
+    machine: SessionDialogue,
+    session_id: u64,
     pinned: Option<PinnedPlace>,
     /// Arrival of the statement that is being answered.
-    began_at: Instant,
+    arrived_at: Instant,
 }
 
 /// Route that a caller may use, with its team.
-type AllowedRoute = (Rc<RouteRecord>, Rc<str>);
+type AuthorizedRoute = (Rc<RouteRecord>, Rc<str>);
 
 /// What a session waits for.
 enum SessionEvent {
     Line(usize, Instant),
     Closed,
-    RestedTooLong,
+    TransactionIdleTimeout,
     Leaving,
 }
 
@@ -66,44 +66,44 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let node = self.clone();
+                    let instance = self.clone();
                     tokio::task::spawn_local(async move {
-                        node.callers.set(node.callers.get() + 1);
-                        serve_caller(&node, stream).await;
-                        node.callers.set(node.callers.get() - 1);
+                        instance.caller_count.set(instance.caller_count.get() + 1);
+                        serve_caller(&instance, stream).await;
+                        instance.caller_count.set(instance.caller_count.get() - 1);
                     });
                 }
                 Err(error) => {
                     log_event!(LogEvent::CallerRefused, "cause=\"accept failed: {error}\"");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 }
 
-async fn serve_caller<E: EngineTypes>(node: &Rc<GatewayInstance<E>>, stream: TcpStream) {
+async fn serve_caller<E: EngineTypes>(instance: &Rc<GatewayInstance<E>>, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         log_event!(LogEvent::CallerRefused, "cause=\"{error}\"");
         return;
     }
     let (reader, writer) = stream.into_split();
     let mut session = CallerSession {
-        session: node.new_session(),
-        began_at: node.now(),
-        node: node.clone(),
+        session_id: instance.new_session_id(),
+        arrived_at: instance.now(),
+        instance: instance.clone(),
         reader,
         writer,
         input: LineBuffer::default(),
         database: String::new(),
         key: None,
-        dialogue: SessionDialogue::default(),
+        machine: SessionDialogue::default(),
         pinned: None,
     };
     if session.open().await.is_some() {
         session.serve().await;
     }
-    session.drop_transaction();
+    session.release_transaction();
 }
 
 impl<E: EngineTypes> CallerSession<E> {
@@ -136,12 +136,12 @@
 
     /// Waits a short while for the first document; without one nobody can be told what exists.
     async fn wait_for_document(&self) -> bool {
-        let begun_at = self.node.now();
-        while !self.node.directory.borrow().is_complete() {
-            if self.node.now().saturating_duration_since(begun_at) > DOCUMENT_PATIENCE {
+        let started_at = self.instance.now();
+        while !self.instance.directory.borrow().is_complete() {
+            if self.instance.now().saturating_duration_since(started_at) > FIRST_DOCUMENT_TIMEOUT {
                 return false;
             }
-            sleep(DOCUMENT_PAUSE).await;
+            sleep(DOCUMENT_POLL_INTERVAL).await;
         }
         true
     }
@@ -163,15 +163,16 @@
 
     async fn serve(&mut self) {
         loop {
-            match self.wait().await {
-                SessionEvent::Line(length, began_at) => {
+            match self.next_event().await {
+                SessionEvent::Line(length, arrived_at) => {
                     let request = E::Codec::decode_request(self.input.line(length));
                     self.input.consume_line(length);
                     match request {
                         CallerRequest::Terminate => return,
                         CallerRequest::Statement { id, text, class } => {
-                            self.began_at = began_at;
-                            let answer = self.answer(&id, &text, &class, began_at).await;
+                            self.arrived_at = arrived_at;
+                            let answer =
+                                self.answer_statement(&id, &text, &class, arrived_at).await;
                             if self.write(&answer).await.is_none() {
                                 return;
                             }
@@ -180,17 +181,17 @@
                             let mut out = Vec::new();
                             let code = RefusalCode::Malformed;
                             E::Codec::encode_error(&mut out, code, "request cannot be understood");
-                            E::Codec::encode_ready(&mut out, self.dialogue.state());
+                            E::Codec::encode_ready(&mut out, self.machine.state());
                             if self.write(&out).await.is_none() {
                                 return;
                             }
                         }
                     }
                 }
-                SessionEvent::RestedTooLong => {
+                SessionEvent::TransactionIdleTimeout => {
                     log_event!(LogEvent::TransactionExpired, "database={}", self.database);
-                    self.drop_transaction();
-                    self.dialogue.fail_open();
+                    self.release_transaction();
+                    self.machine.fail_open();
                 }
                 SessionEvent::Closed | SessionEvent::Leaving => return,
             }
@@ -198,39 +199,39 @@
     }
 
     /// Waits for a request, for the end of the session or for the end of a transaction's rest.
-    async fn wait(&mut self) -> SessionEvent {
+    async fn next_event(&mut self) -> SessionEvent {
         if let Some(length) = self.input.line_length() {
-            return SessionEvent::Line(length, self.node.now());
+            return SessionEvent::Line(length, self.instance.now());
         }
-        let node = self.node.clone();
-        let rest = match self.document().transaction_idle {
-            Some(limit) if self.dialogue.is_pinned() => Some(limit),
+        let instance = self.instance.clone();
+        let idle_limit = match self.document().transaction_idle {
+            Some(limit) if self.machine.is_pinned() => Some(limit),
             _ => None,
         };
-        let rested_too_long = async {
-            match rest {
+        let idle_timeout = async {
+            match idle_limit {
                 Some(limit) => sleep(limit).await,
                 None => std::future::pending().await,
             }
         };
-        let idle = self.dialogue.state() == BlockState::Idle;
+        let between_transactions = self.machine.state() == BlockState::Idle;
         let leaving = async {
-            node.left().await;
-            if !idle {
+            instance.wait_for_leaving().await;
+            if !between_transactions {
                 std::future::pending::<()>().await;
             }
             // Closed before the balancer passes this instance over, callers would come back to it.
-            let since = node.leaving_since().unwrap_or_else(|| node.now());
-            let over = node.now().saturating_duration_since(since);
-            sleep(BALANCER_TIME.saturating_sub(over)).await;
+            let since = instance.leaving_since().unwrap_or_else(|| instance.now());
+            let elapsed = instance.now().saturating_duration_since(since);
+            sleep(IDLE_CLOSE_DELAY.saturating_sub(elapsed)).await;
         };
         tokio::select! {
             biased;
             line = next_line::<E>(&mut self.input, &mut self.reader) => match line {
-                Some(length) => SessionEvent::Line(length, node.now()),
+                Some(length) => SessionEvent::Line(length, instance.now()),
                 None => SessionEvent::Closed,
             },
-            () = rested_too_long => SessionEvent::RestedTooLong,
+            () = idle_timeout => SessionEvent::TransactionIdleTimeout,
             () = leaving => SessionEvent::Leaving,
         }
     }
@@ -240,43 +241,43 @@
     }
 
     /// Decides about a statement and returns the answer.
-    async fn answer(
+    async fn answer_statement(
         &mut self,
         id: &str,
         text: &str,
         class: &StatementClass,
-        began_at: Instant,
+        arrived_at: Instant,
     ) -> Vec<u8> {
         let mut out = Vec::new();
         let (route, team) = match self.authorize() {
-            Ok(allowed) => allowed,
+            Ok(authorized) => authorized,
             Err((code, explanation)) => {
-                self.drop_transaction();
-                self.dialogue.fail_open();
+                self.release_transaction();
+                self.machine.fail_open();
                 self.log_refusal(id, code, explanation);
                 E::Codec::encode_error(&mut out, code, explanation);
-                E::Codec::encode_ready(&mut out, self.dialogue.state());
+                E::Codec::encode_ready(&mut out, self.machine.state());
                 return out;
             }
         };
-        match self.dialogue.handle(class, text, began_at) {
+        match self.machine.handle(class, text, arrived_at) {
             DialogueStep::Acknowledge => E::Codec::encode_acknowledgement(&mut out),
             DialogueStep::Release => {
-                self.drop_transaction();
+                self.release_transaction();
                 E::Codec::encode_acknowledgement(&mut out);
             }
             DialogueStep::Refuse(error) => {
-                if self.dialogue.state() == BlockState::Failed {
-                    self.drop_transaction();
+                if self.machine.state() == BlockState::Failed {
+                    self.release_transaction();
                 }
-                let (code, explanation) = explain(error);
+                let (code, explanation) = describe_error(error);
                 E::Codec::encode_error(&mut out, code, explanation);
             }
             DialogueStep::Forward(plan) => {
                 self.forward(&plan, &route, &team, id, text, &mut out).await;
             }
         }
-        E::Codec::encode_ready(&mut out, self.dialogue.state());
+        E::Codec::encode_ready(&mut out, self.machine.state());
         out
     }
 
@@ -289,33 +290,33 @@
         text: &str,
         out: &mut Vec<u8>,
     ) {
-        let pending = if plan.pinned { self.dialogue.take_pending() } else { Vec::new() };
+        let pending = if plan.pinned { self.machine.take_pending() } else { Vec::new() };
         let context = OperationContext {
             plan,
             route,
             team,
             id,
             text,
-            dialogue: &self.dialogue,
-            session: self.session,
+            dialogue: &self.machine,
+            session: self.session_id,
             pending,
-            arrived_at: self.began_at,
+            arrived_at: self.arrived_at,
         };
-        let result = self.node.run_statement(&context, self.pinned.as_ref()).await;
+        let result = self.instance.run_statement(&context, self.pinned.as_ref()).await;
         let class = if plan.read_only { "read" } else { "write" };
         counter!(meter::REQUESTS, "class" => class).increment(1);
-        let waited = self.node.now().saturating_duration_since(self.began_at);
+        let waited = self.instance.now().saturating_duration_since(self.arrived_at);
         histogram!(meter::REQUEST_SECONDS, "class" => class).record(waited.as_secs_f64());
         match result {
             OperationResult::Success { content, position, place } => {
-                self.dialogue.note_success(plan, position);
+                self.machine.note_success(plan, position);
                 self.pinned = if plan.commits { None } else { place.or(self.pinned.take()) };
                 out.extend_from_slice(&content);
             }
             OperationResult::Failure { content, code, explanation } => {
-                self.dialogue.note_failure(plan);
+                self.machine.note_failure(plan);
                 if !plan.is_single() {
-                    self.drop_transaction();
+                    self.release_transaction();
                 }
                 if content.is_empty() {
                     self.log_refusal(id, code, &explanation);
@@ -329,24 +330,24 @@
     }
 
     /// Returns route and team, or why the caller may not go on.
-    fn authorize(&self) -> Result<AllowedRoute, (RefusalCode, &'static str)> {
+    fn authorize(&self) -> Result<AuthorizedRoute, (RefusalCode, &'static str)> {
         let document = self.document();
         let Some(route) = document.route(&self.database) else {
             return Err((RefusalCode::UnknownDatabase, "no database of that name"));
         };
         let team = self.key.as_deref().and_then(|key| document.team_of(key));
         match team {
-            Some(_) if !self.node.is_document_validated() => {
+            Some(_) if !self.instance.is_document_validated() => {
                 Err((RefusalCode::Busy, "not run: whether the key is still valid cannot be told"))
             }
             Some(team) => Ok((route, team)),
-            None if route.open_to_all => Ok((route, OPEN_TEAM.into())),
+            None if route.open_to_all => Ok((route, ANONYMOUS_TEAM.into())),
             None => Err((RefusalCode::UnknownKey, "the key is not known")),
         }
     }
 
     fn document(&self) -> Rc<DocumentIndex> {
-        self.node.directory.borrow().document()
+        self.instance.directory.borrow().document()
     }
 
     fn log_refusal(&self, id: &str, code: RefusalCode, explanation: &str) {
@@ -358,18 +359,18 @@
             "request={id} database={} team={} code={} document={} state={:?} waited_ms={} \
              cause=\"{explanation}\"",
             self.database,
-            team.as_deref().unwrap_or(OPEN_TEAM),
+            team.as_deref().unwrap_or(ANONYMOUS_TEAM),
             code.label(),
             document.version,
-            self.dialogue.state(),
-            self.node.now().saturating_duration_since(self.began_at).as_millis()
+            self.machine.state(),
+            self.instance.now().saturating_duration_since(self.arrived_at).as_millis()
         );
     }
 
     /// Ends the open transaction at the member.
-    fn drop_transaction(&mut self) {
+    fn release_transaction(&mut self) {
         if let Some(place) = self.pinned.take() {
-            self.node.dispatch_release(&place.holder, place.channel);
+            self.instance.dispatch_release(&place.holder, place.channel);
         }
     }
 
@@ -379,7 +380,7 @@
 }
 
 /// Name under which callers without a key are known to endpoints.
-const OPEN_TEAM: &str = "-";
+const ANONYMOUS_TEAM: &str = "-";
 
 /// Reads until a whole line is there; none at the end of the stream or past the longest line.
 async fn next_line<E: EngineTypes>(
@@ -400,7 +401,7 @@
     }
 }
 
-fn explain(error: DialogueError) -> (RefusalCode, &'static str) {
+fn describe_error(error: DialogueError) -> (RefusalCode, &'static str) {
     match error {
         DialogueError::Malformed => {
             (RefusalCode::Malformed, "statement makes no sense in this state of the session")
--- a/crates/engine/src/connection_owner.rs
+++ b/crates/engine/src/connection_owner.rs
@@ -29,24 +29,24 @@
     ExecuteCall, ExecuteOutcome, ExecuteReply, HoldReason, StatementAnswer, millis,
 };
 use crate::pool::{
-    EndpointPool, IdleConnection, PinnedConnection, RETRY_PAUSE, RunPermit, TakeError, take_idle,
-    take_oldest_idle,
+    AcquireError, EndpointPool, IdleConnection, PinnedConnection, RECONNECT_BACKOFF, RunPermit,
+    acquire_idle, remove_oldest_idle,
 };
 
 /// Permits beyond the endpoint's slots: keeps the slots busy during the way of an answer.
-const SPARE_PERMITS: usize = 1;
+const EXTRA_PERMITS: usize = 1;
 /// Time after an endpoint refused a connection for their number until another is tried.
-const FULL_PAUSE: Duration = Duration::from_millis(100);
+const CONNECTION_LIMIT_BACKOFF: Duration = Duration::from_millis(100);
 /// Least time given to the opening of a connection, however little is left to its request.
-const LEAST_OPEN_TIME: Duration = Duration::from_millis(60);
+const MIN_OPEN_TIMEOUT: Duration = Duration::from_millis(60);
 /// Silence of an endpoint with work outstanding after which a fresh connection is tried.
-const SILENCE_TIME: Duration = Duration::from_millis(300);
+const STALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time in which a fresh connection must answer a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(350);
 /// Time in which a member must roll back or prove that an idle connection works.
 const CLEANUP_TIMEOUT: Duration = Duration::from_millis(400);
 /// Idle time after which a connection must prove itself before it carries a write.
-const PROOF_AGE: Duration = Duration::from_millis(1_500);
+const MIN_IDLE_BEFORE_CHECK: Duration = Duration::from_millis(1_500);
 /// Setup of a connection whose values are not known.
 const UNKNOWN_SETUP: u64 = u64::MAX;
 
@@ -56,9 +56,9 @@
 /// Connections that this instance holds.
 #[derive(Debug, Default)]
 pub struct ConnectionPools {
-    pools: RefCell<HashMap<String, Rc<EndpointPool>>>,
+    by_endpoint: RefCell<HashMap<String, Rc<EndpointPool>>>,
     pinned: RefCell<HashMap<(CallOrigin, u32), PinnedConnection>>,
-    origins: RefCell<HashMap<CallOrigin, ()>>,
+    live_origins: RefCell<HashMap<CallOrigin, ()>>,
     next_origin: Cell<CallOrigin>,
 }
 
@@ -67,13 +67,13 @@
     pub fn register_origin(&self) -> CallOrigin {
         let origin = self.next_origin.get() + 1;
         self.next_origin.set(origin);
-        self.origins.borrow_mut().insert(origin, ());
+        self.live_origins.borrow_mut().insert(origin, ());
         origin
     }
 
     /// Returns the endpoints that have failed for a while.
-    pub fn failing(&self) -> Vec<String> {
-        let pools = self.pools.borrow();
+    pub fn failing_endpoints(&self) -> Vec<String> {
+        let pools = self.by_endpoint.borrow();
         let failing = pools.values().filter(|pool| pool.failing_since.get().is_some());
         let mut names: Vec<String> = failing.map(|pool| pool.endpoint.clone()).collect();
         names.sort();
@@ -82,16 +82,16 @@
 
     /// Returns the time since which an endpoint has failed.
     pub fn failing_since(&self, endpoint: &str) -> Option<Instant> {
-        self.pools.borrow().get(endpoint).and_then(|pool| pool.failing_since.get())
+        self.by_endpoint.borrow().get(endpoint).and_then(|pool| pool.failing_since.get())
     }
 
     /// Returns how many requests run or wait at the endpoints held here.
-    pub fn work(&self) -> usize {
-        let work = |pool: &Rc<EndpointPool>| {
+    pub fn outstanding_requests(&self) -> usize {
+        let outstanding = |pool: &Rc<EndpointPool>| {
             let queue = pool.queue.borrow();
             queue.in_use() + queue.waiting_before(UrgencyLevel::MAX)
         };
-        self.pools.borrow().values().map(work).sum()
+        self.by_endpoint.borrow().values().map(outstanding).sum()
     }
 
     /// Tells whether transactions of other instances or of this one hold connections.
@@ -99,8 +99,8 @@
         !self.pinned.borrow().is_empty()
     }
 
-    fn is_open(&self, origin: CallOrigin) -> bool {
-        origin == 0 || self.origins.borrow().contains_key(&origin)
+    fn is_live_origin(&self, origin: CallOrigin) -> bool {
+        origin == 0 || self.live_origins.borrow().contains_key(&origin)
     }
 }
 
@@ -112,9 +112,9 @@
         call: ExecuteCall,
     ) -> ExecuteReply {
         let Some(pool) = self.pool(&call.endpoint) else {
-            return refused(HoldReason::UnknownEndpoint, 0);
+            return refused_reply(HoldReason::UnknownEndpoint, 0);
         };
-        let outcome = self.execute_at(&pool, origin, &call).await;
+        let outcome = self.execute_in_pool(&pool, origin, &call).await;
         let now = self.now();
         let queue_wait = pool.queue.borrow().expected_wait(call.level);
         let directory = self.directory.borrow();
@@ -126,8 +126,8 @@
     }
 
     /// Rolls a transaction back and frees its connection.
-    pub fn release_locally(self: &Rc<Self>, origin: CallOrigin, channel: u32) {
-        let pinned = self.pools.pinned.borrow_mut().remove(&(origin, channel));
+    pub fn release_locally(self: &Rc<Self>, origin: CallOrigin, transaction_id: u32) {
+        let pinned = self.pools.pinned.borrow_mut().remove(&(origin, transaction_id));
         let Some(pinned) = pinned else {
             return;
         };
@@ -136,11 +136,11 @@
 
     /// Closes the connections of all transactions of an origin that is gone.
     pub fn unregister_origin(self: &Rc<Self>, origin: CallOrigin) {
-        self.pools.origins.borrow_mut().remove(&origin);
-        let channels: Vec<(CallOrigin, u32)> =
+        self.pools.live_origins.borrow_mut().remove(&origin);
+        let transactions: Vec<(CallOrigin, u32)> =
             self.pools.pinned.borrow().keys().filter(|key| key.0 == origin).copied().collect();
-        for (_, channel) in channels {
-            self.release_locally(origin, channel);
+        for (_, transaction_id) in transactions {
+            self.release_locally(origin, transaction_id);
         }
     }
 
@@ -168,45 +168,46 @@
     /// Closes connections that are of no use: idle for long, or of endpoints held by others.
     pub fn evict_idle_connections(self: &Rc<Self>) {
         let now = self.now();
-        let pools: Vec<Rc<EndpointPool>> = self.pools.pools.borrow().values().cloned().collect();
+        let pools: Vec<Rc<EndpointPool>> =
+            self.pools.by_endpoint.borrow().values().cloned().collect();
         for pool in pools {
             if pool.failing_since.get().is_some() {
                 // Others hold its connections meanwhile, so no request tells when it is back.
-                self.probe_endpoint(&pool);
+                self.spawn_probe(&pool);
             }
             self.resize_pool(&pool);
-            let entry_born =
+            let registered_start =
                 self.directory.borrow().endpoint(&pool.endpoint).map(|entry| entry.record.born_ms);
-            let held_here = entry_born.is_some()
+            let owned_here = registered_start.is_some()
                 && self.holders_of(&pool.endpoint).first().is_some_and(|name| name == self.name());
-            let newest = newest_of_teams(&pool);
-            let mut closed = Vec::new();
+            let last_use = last_use_by_team(&pool);
+            let mut evicted = Vec::new();
             pool.idle.borrow_mut().retain_mut(|idle| {
-                let resting = match newest.get(&idle.team) {
-                    _ if !held_here => RestingConnection::Foreign,
-                    Some(newest) if *newest > idle.idle_since => RestingConnection::Spare,
+                let kind = match last_use.get(&idle.team) {
+                    _ if !owned_here => RestingConnection::Foreign,
+                    Some(used_at) if *used_at > idle.idle_since => RestingConnection::Spare,
                     _ => RestingConnection::Last,
                 };
-                let rested = now.saturating_duration_since(idle.idle_since);
-                let old = rested > resting.longest_rest();
-                if old || idle.connection.is_spoilt() {
-                    closed.push(());
+                let idle_time = now.saturating_duration_since(idle.idle_since);
+                let expired = idle_time > kind.longest_rest();
+                if expired || idle.connection.is_broken() {
+                    evicted.push(());
                     return false;
                 }
                 true
             });
-            pool.open.set(pool.open.get().saturating_sub(closed.len()));
-            while pool.open.get() > pool.limit.get()
-                && let Some(idle) = take_oldest_idle(&pool)
+            pool.open_count.set(pool.open_count.get().saturating_sub(evicted.len()));
+            while pool.open_count.get() > pool.max_open.get()
+                && let Some(idle) = remove_oldest_idle(&pool)
             {
-                pool.close(idle.connection);
+                pool.close_connection(idle.connection);
             }
-            if !closed.is_empty() {
-                pool.freed.notify_one();
+            if !evicted.is_empty() {
+                pool.connection_freed.notify_one();
             }
-            let outdated = entry_born != Some(pool.born_ms);
-            if outdated && pool.open.get() == 0 {
-                self.pools.pools.borrow_mut().remove(&pool.endpoint);
+            let is_stale = registered_start != Some(pool.started_ms);
+            if is_stale && pool.open_count.get() == 0 {
+                self.pools.by_endpoint.borrow_mut().remove(&pool.endpoint);
             }
         }
     }
@@ -215,12 +216,12 @@
     fn resize_pool(&self, pool: &EndpointPool) {
         let directory = self.directory.borrow();
         let document = directory.document();
-        let reach = self.quotas.borrow().reach();
+        let reachable_fraction = self.quotas.borrow().reach();
         if let Some(service) = document.service(&pool.service) {
-            pool.limit.set(connection_limit(service.connections, reach));
+            pool.max_open.set(connection_limit(service.connections, reachable_fraction));
         }
         if let Some(entry) = directory.endpoint(&pool.endpoint) {
-            pool.queue.borrow_mut().resize(entry.record.slots.max(1) + SPARE_PERMITS);
+            pool.queue.borrow_mut().resize(entry.record.slots.max(1) + EXTRA_PERMITS);
         }
     }
 
@@ -228,8 +229,9 @@
     fn pool(&self, endpoint: &str) -> Option<Rc<EndpointPool>> {
         let directory = self.directory.borrow();
         let entry = directory.endpoint(endpoint)?;
-        let mut pools = self.pools.pools.borrow_mut();
-        if let Some(pool) = pools.get(endpoint).filter(|pool| pool.born_ms == entry.record.born_ms)
+        let mut pools = self.pools.by_endpoint.borrow_mut();
+        if let Some(pool) =
+            pools.get(endpoint).filter(|pool| pool.started_ms == entry.record.born_ms)
         {
             return Some(pool.clone());
         }
@@ -237,39 +239,39 @@
             endpoint: endpoint.to_owned(),
             service: entry.record.service.clone(),
             address: entry.record.address,
-            born_ms: entry.record.born_ms,
+            started_ms: entry.record.born_ms,
             queue: RefCell::new(UrgencyQueue::new(1)),
             idle: RefCell::default(),
-            open: Cell::new(0),
-            limit: Cell::new(1),
-            freed: Notify::new(),
+            open_count: Cell::new(0),
+            max_open: Cell::new(1),
+            connection_freed: Notify::new(),
             failing_since: Cell::new(None),
-            tried_at: Cell::new(None),
-            heard_at: Cell::new(None),
-            probing: Cell::new(false),
-            refused_at: Cell::new(None),
+            last_attempt_at: Cell::new(None),
+            last_response_at: Cell::new(None),
+            probe_in_flight: Cell::new(false),
+            connections_refused_at: Cell::new(None),
         });
         self.resize_pool(&pool);
         pools.insert(endpoint.to_owned(), pool.clone());
         Some(pool)
     }
 
-    async fn execute_at(
+    async fn execute_in_pool(
         self: &Rc<Self>,
         pool: &Rc<EndpointPool>,
         origin: CallOrigin,
         call: &ExecuteCall,
     ) -> ExecuteOutcome {
-        let begun_at = self.now();
-        let deadline = begun_at + Duration::from_millis(call.answer_within_ms.into());
+        let received_at = self.now();
+        let deadline = received_at + Duration::from_millis(call.answer_within_ms.into());
         let permit = if call.pinned {
             pool.queue.borrow_mut().take_pinned();
-            self.permit(pool, call.level, team_number(&call.team))
+            self.new_permit(pool, call.level, team_hash(&call.team))
         } else {
-            if pool.is_shunned(begun_at) {
-                return not_sent(HoldReason::Unreachable, RETRY_PAUSE);
+            if pool.is_in_backoff(received_at) {
+                return not_sent(HoldReason::Unreachable, RECONNECT_BACKOFF);
             }
-            match self.wait_for_permit(pool, call, begun_at).await {
+            match self.acquire_permit(pool, call, received_at).await {
                 Ok(permit) => permit,
                 Err(retry) => return not_sent(HoldReason::Queue, retry),
             }
@@ -281,104 +283,108 @@
                 None => return not_sent(HoldReason::PinLost, Duration::ZERO),
             }
         } else {
-            let latest = begun_at + Duration::from_millis(call.start_within_ms.into());
-            match self.take_connection(pool, call, latest).await {
+            let latest_start = received_at + Duration::from_millis(call.start_within_ms.into());
+            match self.acquire_connection(pool, call, latest_start).await {
                 Ok(connection) => connection,
-                Err(TakeError::Unreachable) => {
-                    return not_sent(HoldReason::Unreachable, RETRY_PAUSE);
+                Err(AcquireError::Unreachable) => {
+                    return not_sent(HoldReason::Unreachable, RECONNECT_BACKOFF);
                 }
-                Err(TakeError::Full) => {
-                    let retry = pool.queue.borrow().expected_turn(permit.level, permit.team);
+                Err(AcquireError::Full) => {
+                    let retry = pool.queue.borrow().expected_turn(permit.priority, permit.team);
                     return not_sent(HoldReason::Connections, retry);
                 }
             }
         };
-        let asked_at = self.now();
-        let left = deadline.saturating_duration_since(asked_at);
+        let sent_at = self.now();
+        let remaining = deadline.saturating_duration_since(sent_at);
         let exchange = self.exchange(pool, &mut connection, call);
-        let answers = match timeout(left, exchange).await {
+        let answers = match timeout(remaining, exchange).await {
             Ok(Some(answers)) => answers,
             Ok(None) | Err(_) => {
-                pool.close(connection);
+                pool.close_connection(connection);
                 return ExecuteOutcome::Lost;
             }
         };
         drop(permit);
-        self.observe_answers(pool, call, &answers, asked_at);
-        self.put_back(pool, origin, call, connection, &answers);
+        self.record_answers(pool, call, &answers, sent_at);
+        self.recycle_connection(pool, origin, call, connection, &answers);
         ExecuteOutcome::Answered(answers)
     }
 
-    fn permit(&self, pool: &Rc<EndpointPool>, level: UrgencyLevel, team: u64) -> RunPermit {
-        let (clock, taken_at) = (self.clock.clone(), self.now());
-        RunPermit { pool: pool.clone(), clock, level, team, taken_at }
+    fn new_permit(&self, pool: &Rc<EndpointPool>, priority: UrgencyLevel, team: u64) -> RunPermit {
+        let (clock, acquired_at) = (self.clock.clone(), self.now());
+        RunPermit { pool: pool.clone(), clock, priority, team, acquired_at }
     }
 
-    async fn wait_for_permit(
+    async fn acquire_permit(
         &self,
         pool: &Rc<EndpointPool>,
         call: &ExecuteCall,
         now: Instant,
     ) -> Result<RunPermit, Duration> {
-        let (level, team) = (call.level, team_number(&call.team));
-        if pool.queue.borrow_mut().try_take(level) {
-            return Ok(self.permit(pool, level, team));
+        let (priority, team) = (call.level, team_hash(&call.team));
+        if pool.queue.borrow_mut().try_take(priority) {
+            return Ok(self.new_permit(pool, priority, team));
         }
         let wait = Duration::from_millis(call.start_within_ms.into());
         let (sender, mut receiver) = oneshot::channel();
-        let pushed = pool.queue.borrow_mut().push(level, team, sender, now + wait, now);
-        let expected = |pool: &EndpointPool| pool.queue.borrow().expected_turn(level, team);
+        let pushed = pool.queue.borrow_mut().push(priority, team, sender, now + wait, now);
+        let expected = |pool: &EndpointPool| pool.queue.borrow().expected_turn(priority, team);
         if pushed.is_err() {
             return Err(expected(pool));
         }
         match timeout(wait, &mut receiver).await {
-            Ok(Ok(())) => Ok(self.permit(pool, level, team)),
+            Ok(Ok(())) => Ok(self.new_permit(pool, priority, team)),
             Ok(Err(_)) => Err(expected(pool)),
             Err(_) => {
                 receiver.close();
                 match receiver.try_recv() {
-                    Ok(()) => Ok(self.permit(pool, level, team)),
+                    Ok(()) => Ok(self.new_permit(pool, priority, team)),
                     Err(_) => Err(expected(pool)),
                 }
             }
         }
     }
 
-    async fn take_connection(
+    async fn acquire_connection(
         self: &Rc<Self>,
         pool: &Rc<EndpointPool>,
         call: &ExecuteCall,
-        latest: Instant,
-    ) -> Result<EndpointConnection, TakeError> {
+        latest_start: Instant,
+    ) -> Result<EndpointConnection, AcquireError> {
         loop {
             let now = self.now();
-            if let Some(idle) = take_idle(pool, &call.team) {
-                let rested = now.saturating_duration_since(idle.idle_since);
-                if rested < PROOF_AGE || call.repeatable {
+            if let Some(idle) = acquire_idle(pool, &call.team) {
+                let idle_time = now.saturating_duration_since(idle.idle_since);
+                if idle_time < MIN_IDLE_BEFORE_CHECK || call.repeatable {
                     return Ok(idle.connection);
                 }
-                match self.prove(idle.connection).await {
+                match self.check_connection(idle.connection).await {
                     Some(connection) => return Ok(connection),
                     None => {
-                        pool.open.set(pool.open.get().saturating_sub(1));
+                        pool.open_count.set(pool.open_count.get().saturating_sub(1));
                         continue;
                     }
                 }
             }
-            let refused = |at: Instant| now.saturating_duration_since(at) < FULL_PAUSE;
-            let full = pool.refused_at.get().is_some_and(refused);
-            if pool.open.get() < pool.limit.get() && !full {
-                let limit =
-                    latest.saturating_duration_since(now).clamp(LEAST_OPEN_TIME, OPEN_TIMEOUT);
-                return self.open_connection(pool, &call.team, limit).await;
+            let recently_refused =
+                |at: Instant| now.saturating_duration_since(at) < CONNECTION_LIMIT_BACKOFF;
+            let full = pool.connections_refused_at.get().is_some_and(recently_refused);
+            if pool.open_count.get() < pool.max_open.get() && !full {
+                let open_timeout = latest_start
+                    .saturating_duration_since(now)
+                    .clamp(MIN_OPEN_TIMEOUT, OPEN_TIMEOUT);
+                return self.open_connection(pool, &call.team, open_timeout).await;
             }
-            if let Some(idle) = take_oldest_idle(pool) {
-                pool.close(idle.connection);
+            if let Some(idle) = remove_oldest_idle(pool) {
+                pool.close_connection(idle.connection);
                 continue;
             }
-            let left = latest.saturating_duration_since(now);
-            if left.is_zero() || timeout(left, pool.freed.notified()).await.is_err() {
-                return Err(TakeError::Full);
+            let remaining = latest_start.saturating_duration_since(now);
+            if remaining.is_zero()
+                || timeout(remaining, pool.connection_freed.notified()).await.is_err()
+            {
+                return Err(AcquireError::Full);
             }
         }
     }
@@ -387,49 +393,55 @@
         &self,
         pool: &Rc<EndpointPool>,
         team: &str,
-        limit: Duration,
-    ) -> Result<EndpointConnection, TakeError> {
-        pool.open.set(pool.open.get() + 1);
-        pool.tried_at.set(Some(self.now()));
+        open_timeout: Duration,
+    ) -> Result<EndpointConnection, AcquireError> {
+        pool.open_count.set(pool.open_count.get() + 1);
+        pool.last_attempt_at.set(Some(self.now()));
         let mut startup = Vec::new();
         E::Codec::encode_startup(&mut startup, &pool.service, team, &pool.endpoint);
-        let opened = EndpointConnection::open::<E::Codec>(pool.address, &startup, limit).await;
+        let opened =
+            EndpointConnection::open::<E::Codec>(pool.address, &startup, open_timeout).await;
         let now = self.now();
         match opened {
             Ok(connection) => {
-                pool.note_reached(now);
+                pool.record_response(now);
                 Ok(connection)
             }
             Err(error) => {
-                pool.open.set(pool.open.get().saturating_sub(1));
-                pool.freed.notify_one();
-                if let EndpointError::Refused {
+                pool.open_count.set(pool.open_count.get().saturating_sub(1));
+                pool.connection_freed.notify_one();
+                if let EndpointError::SessionRefused {
                     code: RefusalCode::TooManyConnections | RefusalCode::Busy,
                 } = error
                 {
-                    pool.refused_at.set(Some(now));
-                    return Err(TakeError::Full);
+                    pool.connections_refused_at.set(Some(now));
+                    return Err(AcquireError::Full);
                 }
                 // A request with little time left proves nothing about the endpoint.
-                if limit >= CONNECT_TIMEOUT || !matches!(error, EndpointError::ConnectTimeout) {
-                    pool.note_failed(now, &error);
+                if open_timeout >= CONNECT_TIMEOUT
+                    || !matches!(error, EndpointError::ConnectTimeout)
+                {
+                    pool.record_failure(now, &error);
                 }
                 self.status_changed.notify_waiters();
-                Err(TakeError::Unreachable)
+                Err(AcquireError::Unreachable)
             }
         }
     }
 
     /// Lets an idle connection prove that it still works.
-    async fn prove(&self, mut connection: EndpointConnection) -> Option<EndpointConnection> {
+    async fn check_connection(
+        &self,
+        mut connection: EndpointConnection,
+    ) -> Option<EndpointConnection> {
         let mut bytes = Vec::new();
         E::Codec::encode_control(&mut bytes, ControlStatement::Reset);
-        connection.setup = 0;
-        let proof = async {
+        connection.applied_setup = 0;
+        let check = async {
             connection.send(&bytes).await.ok()?;
             connection.read_answer::<E::Codec>().await.ok()
         };
-        timeout(CLEANUP_TIMEOUT, proof).await.ok().flatten()?;
+        timeout(CLEANUP_TIMEOUT, check).await.ok().flatten()?;
         Some(connection)
     }
 
@@ -440,46 +452,46 @@
         connection: &mut EndpointConnection,
         call: &ExecuteCall,
     ) -> Option<Vec<StatementAnswer>> {
-        let prepares = call.pinned || connection.setup != call.setup;
-        let skipped = if prepares { call.setup_count } else { 0 };
-        let setup_bytes = if skipped > 0 { call.setup_bytes.as_slice() } else { &[] };
-        let gated = !call.opening.is_empty();
-        let first = if gated { &call.opening } else { &call.bytes };
+        let needs_setup = call.pinned || connection.applied_setup != call.setup;
+        let setup_answers = if needs_setup { call.setup_count } else { 0 };
+        let setup_bytes = if setup_answers > 0 { call.setup_bytes.as_slice() } else { &[] };
+        let opens_transaction = !call.opening.is_empty();
+        let first_bytes = if opens_transaction { &call.opening } else { &call.bytes };
         if setup_bytes.is_empty() {
-            connection.send(first).await.ok()?;
+            connection.send(first_bytes).await.ok()?;
         } else {
-            connection.send(&[setup_bytes, first].concat()).await.ok()?;
+            connection.send(&[setup_bytes, first_bytes].concat()).await.ok()?;
         }
         if !call.pinned {
-            connection.setup = call.setup;
+            connection.applied_setup = call.setup;
         }
-        for _ in 0..skipped {
-            let answer = self.watched_answer(pool, connection, call).await?;
+        for _ in 0..setup_answers {
+            let answer = self.read_answer_or_probe(pool, connection, call).await?;
             if answer.error.is_some() {
-                connection.setup = UNKNOWN_SETUP;
+                connection.applied_setup = UNKNOWN_SETUP;
             }
         }
-        if gated {
-            let opened = self.watched_answer(pool, connection, call).await?;
+        if opens_transaction {
+            let opened = self.read_answer_or_probe(pool, connection, call).await?;
             if opened.error.is_some() {
                 return Some(vec![opened]);
             }
             connection.send(&call.bytes).await.ok()?;
             let mut answers = vec![opened];
             for _ in 0..call.count {
-                answers.push(self.watched_answer(pool, connection, call).await?);
+                answers.push(self.read_answer_or_probe(pool, connection, call).await?);
             }
             return Some(answers);
         }
         let mut answers = Vec::with_capacity(call.count.into());
         for _ in 0..call.count {
-            answers.push(self.watched_answer(pool, connection, call).await?);
+            answers.push(self.read_answer_or_probe(pool, connection, call).await?);
         }
         Some(answers)
     }
 
     /// Reads an answer; tries a fresh connection if the endpoint stays silent.
-    async fn watched_answer(
+    async fn read_answer_or_probe(
         self: &Rc<Self>,
         pool: &Rc<EndpointPool>,
         connection: &mut EndpointConnection,
@@ -491,55 +503,55 @@
             tokio::select! {
                 answer = &mut reading => {
                     let answer = answer.ok()?;
-                    pool.note_reached(self.now());
+                    pool.record_response(self.now());
                     return Some(answer);
                 }
-                () = sleep(SILENCE_TIME) => {
+                () = sleep(STALL_TIMEOUT) => {
                     if call.repeatable && pool.failing_since.get().is_some() {
                         return None;
                     }
-                    self.probe_silent(pool);
+                    self.probe_if_silent(pool);
                 }
             }
         }
     }
 
     /// Tries a fresh connection to an endpoint that has been silent.
-    fn probe_silent(self: &Rc<Self>, pool: &Rc<EndpointPool>) {
+    fn probe_if_silent(self: &Rc<Self>, pool: &Rc<EndpointPool>) {
         let now = self.now();
-        let heard = |at: Instant| now.saturating_duration_since(at) < SILENCE_TIME;
-        if !pool.heard_at.get().is_some_and(heard) {
-            self.probe_endpoint(pool);
+        let responded_recently = |at: Instant| now.saturating_duration_since(at) < STALL_TIMEOUT;
+        if !pool.last_response_at.get().is_some_and(responded_recently) {
+            self.spawn_probe(pool);
         }
     }
 
     /// Tries a fresh connection to an endpoint.
-    fn probe_endpoint(self: &Rc<Self>, pool: &Rc<EndpointPool>) {
-        if pool.probing.replace(true) {
+    fn spawn_probe(self: &Rc<Self>, pool: &Rc<EndpointPool>) {
+        if pool.probe_in_flight.replace(true) {
             return;
         }
-        let (node, pool) = (self.clone(), pool.clone());
+        let (instance, pool) = (self.clone(), pool.clone());
         tokio::task::spawn_local(async move {
-            let reached = node.probe_member(&pool.endpoint).await.is_some();
-            let now = node.now();
+            let reached = instance.probe_member(&pool.endpoint).await.is_some();
+            let now = instance.now();
             if reached {
-                pool.note_reached(now);
-                node.status_changed.notify_waiters();
+                pool.record_response(now);
+                instance.status_changed.notify_waiters();
             } else {
-                pool.note_failed(now, &EndpointError::ConnectTimeout);
-                node.status_changed.notify_waiters();
-                pool.tried_at.set(Some(now));
+                pool.record_failure(now, &EndpointError::ConnectTimeout);
+                instance.status_changed.notify_waiters();
+                pool.last_attempt_at.set(Some(now));
             }
-            pool.probing.set(false);
+            pool.probe_in_flight.set(false);
         });
     }
 
-    fn observe_answers(
+    fn record_answers(
         &self,
         pool: &EndpointPool,
         call: &ExecuteCall,
         answers: &[StatementAnswer],
-        asked_at: Instant,
+        sent_at: Instant,
     ) {
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
@@ -551,7 +563,7 @@
         };
         match (proof.error, proof.position) {
             (None, Some(position)) => {
-                let mark = ProvedMark { asked_at, position };
+                let mark = ProvedMark { asked_at: sent_at, position };
                 if directory.note_leader(&pool.endpoint, mark) {
                     self.status_changed.notify_waiters();
                     log_event!(
@@ -571,7 +583,7 @@
     }
 
     /// Keeps a connection for its transaction, for others, or rolls it back first.
-    fn put_back(
+    fn recycle_connection(
         self: &Rc<Self>,
         pool: &Rc<EndpointPool>,
         origin: CallOrigin,
@@ -583,25 +595,25 @@
         let pinned = PinnedConnection { pool: pool.clone(), team: call.team.clone(), connection };
         // A refused statement may leave the transaction open, but its caller gives it up.
         let failed = answers.iter().any(|answer| answer.error.is_some());
-        let kept = call.keeps && !failed && self.pools.is_open(origin);
+        let kept = call.keeps && !failed && self.pools.is_live_origin(origin);
         match state {
             BlockState::Open if kept => {
                 self.pools.pinned.borrow_mut().insert((origin, call.channel), pinned);
             }
-            BlockState::Idle => self.rest(pinned),
+            BlockState::Idle => self.return_idle(pinned),
             BlockState::Open | BlockState::Failed => self.roll_back(pinned),
         }
     }
 
-    fn rest(&self, pinned: PinnedConnection) {
+    fn return_idle(&self, pinned: PinnedConnection) {
         let PinnedConnection { pool, team, connection } = pinned;
         let idle_since = self.now();
         pool.idle.borrow_mut().push(IdleConnection { team, connection, idle_since });
-        pool.freed.notify_one();
+        pool.connection_freed.notify_one();
     }
 
     fn roll_back(self: &Rc<Self>, mut pinned: PinnedConnection) {
-        let node = self.clone();
+        let instance = self.clone();
         tokio::task::spawn_local(async move {
             let mut bytes = Vec::new();
             E::Codec::encode_control(&mut bytes, ControlStatement::Rollback);
@@ -611,15 +623,15 @@
                 (answer.state == BlockState::Idle).then_some(())
             };
             match timeout(CLEANUP_TIMEOUT, rolled_back).await {
-                Ok(Some(())) => node.rest(pinned),
-                Ok(None) | Err(_) => pinned.pool.close(pinned.connection),
+                Ok(Some(())) => instance.return_idle(pinned),
+                Ok(None) | Err(_) => pinned.pool.close_connection(pinned.connection),
             }
         });
     }
 }
 
 /// Returns when each team last gave back a connection of a pool.
-fn newest_of_teams(pool: &EndpointPool) -> HashMap<String, Instant> {
+fn last_use_by_team(pool: &EndpointPool) -> HashMap<String, Instant> {
     // Connections stand in the order in which they were given back, so the last one wins.
     let idle = pool.idle.borrow();
     idle.iter().map(|idle| (idle.team.clone(), idle.idle_since)).collect()
@@ -629,11 +641,11 @@
 const PROBE_TEAM: &str = "-";
 
 /// Returns the number of a team in queues.
-fn team_number(team: &str) -> u64 {
+fn team_hash(team: &str) -> u64 {
     rendezvous::weight(team, "")
 }
 
-fn refused(reason: HoldReason, queue_ms: u32) -> ExecuteReply {
+fn refused_reply(reason: HoldReason, queue_ms: u32) -> ExecuteReply {
     ExecuteReply { outcome: not_sent(reason, Duration::ZERO), queue_ms, mark: None }
 }
 
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -14,7 +14,7 @@
 };
 
 /// Holders tried for statements that none has sent yet.
-const TRIED_HOLDERS: usize = 3;
+const MAX_OWNER_ATTEMPTS: usize = 3;
 
 /// Reply with the instance that gave it.
 #[derive(Debug)]
@@ -36,15 +36,15 @@
         deadline: Instant,
     ) -> OwnerReply {
         let mut last = None;
-        for holder in self.holders_of(&call.endpoint).into_iter().take(TRIED_HOLDERS) {
+        for owner in self.holders_of(&call.endpoint).into_iter().take(MAX_OWNER_ATTEMPTS) {
             let now = self.now();
             if last.is_some() && now >= latest_start {
                 break;
             }
             call.start_within_ms = millis(latest_start.saturating_duration_since(now)).max(1);
             call.answer_within_ms = millis(deadline.saturating_duration_since(now)).max(1);
-            let reply = self.dispatch_to(&holder, call.clone()).await;
-            let goes_on = matches!(
+            let reply = self.dispatch_to(&owner, call.clone()).await;
+            let try_next_owner = matches!(
                 reply.outcome,
                 ExecuteOutcome::NotSent {
                     reason: HoldReason::Unreachable
@@ -53,11 +53,11 @@
                     ..
                 }
             );
-            let held = OwnerReply { owner: holder, reply };
-            if !goes_on {
-                return held;
+            let owner_reply = OwnerReply { owner, reply };
+            if !try_next_owner {
+                return owner_reply;
             }
-            last = Some(held);
+            last = Some(owner_reply);
         }
         last.unwrap_or_else(|| {
             let outcome = ExecuteOutcome::NotSent { reason: HoldReason::NoHolder, retry_ms: 0 };
@@ -67,20 +67,20 @@
     }
 
     /// Runs statements through a given holder.
-    pub async fn dispatch_to(self: &Rc<Self>, holder: &str, call: ExecuteCall) -> ExecuteReply {
+    pub async fn dispatch_to(self: &Rc<Self>, owner: &str, call: ExecuteCall) -> ExecuteReply {
         let endpoint = call.endpoint.clone();
-        if holder == self.name() {
+        if owner == self.name() {
             let reply = self.execute_locally(0, call).await;
-            self.learn_queue(&endpoint, &reply);
+            self.record_reply(&endpoint, &reply);
             return reply;
         }
-        let Some(link) = self.peers.link(holder) else {
+        let Some(link) = self.peers.link(owner) else {
             let outcome = ExecuteOutcome::NotSent { reason: HoldReason::NoHolder, retry_ms: 0 };
             return ExecuteReply { outcome, queue_ms: 0, mark: None };
         };
         let sent_at = self.now();
         let reply = link.execute(call).await;
-        self.learn_queue(&endpoint, &reply);
+        self.record_reply(&endpoint, &reply);
         let Some((position, age_ms)) = reply.mark else {
             return reply;
         };
@@ -96,16 +96,16 @@
     }
 
     /// Ends a transaction at the instance that holds its connection.
-    pub fn dispatch_release(self: &Rc<Self>, holder: &str, channel: u32) {
-        if holder == self.name() {
-            self.release_locally(0, channel);
-        } else if let Some(link) = self.peers.link(holder) {
-            link.release(channel);
+    pub fn dispatch_release(self: &Rc<Self>, owner: &str, transaction_id: u32) {
+        if owner == self.name() {
+            self.release_locally(0, transaction_id);
+        } else if let Some(link) = self.peers.link(owner) {
+            link.release(transaction_id);
         }
     }
 
     /// Remembers what a reply tells about an endpoint.
-    fn learn_queue(&self, endpoint: &str, reply: &ExecuteReply) {
+    fn record_reply(&self, endpoint: &str, reply: &ExecuteReply) {
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
         directory.observe(endpoint, |view| {
--- a/crates/engine/src/endpoint_connection.rs
+++ b/crates/engine/src/endpoint_connection.rs
@@ -36,13 +36,13 @@
     Closed,
     /// The endpoint refused the session.
     #[snafu(display("session refused: {code:?}"))]
-    Refused {
+    SessionRefused {
         /// Stated reason.
         code: RefusalCode,
     },
     /// The answer does not fit the protocol.
     #[snafu(display("answer cannot be understood"))]
-    Unreadable,
+    MalformedAnswer,
 }
 
 /// Open connection to an endpoint, on behalf of one team for good.
@@ -51,7 +51,7 @@
     stream: TcpStream,
     input: LineBuffer,
     /// Session values and names that it has; zero for none.
-    pub setup: u64,
+    pub applied_setup: u64,
 }
 
 impl EndpointConnection {
@@ -59,13 +59,13 @@
     pub async fn open<C: WireCodec>(
         address: SocketAddr,
         startup: &[u8],
-        limit: Duration,
+        open_timeout: Duration,
     ) -> Result<Self, EndpointError> {
-        let opening = Self::open_unbounded::<C>(address, startup);
-        timeout(limit, opening).await.unwrap_or_else(|_| ConnectTimeoutSnafu.fail())
+        let opening = Self::connect::<C>(address, startup);
+        timeout(open_timeout, opening).await.unwrap_or_else(|_| ConnectTimeoutSnafu.fail())
     }
 
-    async fn open_unbounded<C: WireCodec>(
+    async fn connect<C: WireCodec>(
         address: SocketAddr,
         startup: &[u8],
     ) -> Result<Self, EndpointError> {
@@ -76,14 +76,14 @@
             Ok(Ok(stream)) => stream,
         };
         stream.set_nodelay(true).map_err(|source| EndpointError::Io { source })?;
-        let mut connection = Self { stream, input: LineBuffer::default(), setup: 0 };
+        let mut connection = Self { stream, input: LineBuffer::default(), applied_setup: 0 };
         connection.send(startup).await?;
         connection.read_startup::<C>().await?;
         Ok(connection)
     }
 
     /// Tells whether the other side has ended the connection or sent what nobody asked for.
-    pub fn is_spoilt(&self) -> bool {
+    pub fn is_broken(&self) -> bool {
         let mut byte = [0; 1];
         !matches!(
             self.stream.try_read(&mut byte),
@@ -112,11 +112,11 @@
                 AnswerLine::Ready { state, position } => {
                     self.input.consume_line(length);
                     if !completed && error.is_none() {
-                        return UnreadableSnafu.fail();
+                        return MalformedAnswerSnafu.fail();
                     }
                     return Ok(StatementAnswer { content, error, state, position });
                 }
-                AnswerLine::Malformed => return UnreadableSnafu.fail(),
+                AnswerLine::Malformed => return MalformedAnswerSnafu.fail(),
             }
             self.input.copy_line(length, &mut content);
             self.input.consume_line(length);
@@ -135,8 +135,8 @@
             self.input.consume_line(length);
             return match line {
                 AnswerLine::Ready { state, position } => Ok((state, position)),
-                AnswerLine::Error(code) => RefusedSnafu { code }.fail(),
-                _ => UnreadableSnafu.fail(),
+                AnswerLine::Error(code) => SessionRefusedSnafu { code }.fail(),
+                _ => MalformedAnswerSnafu.fail(),
             };
         }
     }
--- a/crates/engine/src/instance.rs
+++ b/crates/engine/src/instance.rs
@@ -51,7 +51,7 @@
 }
 
 /// Time after its start during which an instance of a first start may fill buckets.
-const FIRST_START_TIME: Duration = Duration::from_secs(20);
+const FIRST_START_PERIOD: Duration = Duration::from_secs(20);
 
 /// One instance.
 pub struct GatewayInstance<E: EngineTypes> {
@@ -76,16 +76,16 @@
     /// Wakes whoever tells other instances the status.
     pub status_changed: Notify,
     /// Open sessions of callers.
-    pub callers: Cell<usize>,
+    pub caller_count: Cell<usize>,
     grace_period: Cell<Duration>,
     started_at: Instant,
     leaving_since: Cell<Option<Instant>>,
     leave_signal: Notify,
-    store_reached: Cell<bool>,
-    confirmed: Cell<bool>,
+    store_reachable: Cell<bool>,
+    was_validated: Cell<bool>,
     promotion_token: Cell<Option<u64>>,
-    next_channel: Cell<u32>,
-    next_session: Cell<u32>,
+    next_transaction_id: Cell<u32>,
+    next_session_id: Cell<u32>,
 }
 
 impl<E: EngineTypes> GatewayInstance<E> {
@@ -104,16 +104,16 @@
             pools: ConnectionPools::default(),
             tables: RefCell::default(),
             validation: RefCell::default(),
-            confirmed: Cell::new(true),
+            was_validated: Cell::new(true),
             status_changed: Notify::new(),
             started_at,
-            callers: Cell::new(0),
+            caller_count: Cell::new(0),
             leaving_since: Cell::new(None),
             leave_signal: Notify::new(),
-            store_reached: Cell::new(false),
+            store_reachable: Cell::new(false),
             promotion_token: Cell::new(None),
-            next_channel: Cell::new(1),
-            next_session: Cell::new(1),
+            next_transaction_id: Cell::new(1),
+            next_session_id: Cell::new(1),
         })
     }
 
@@ -169,14 +169,14 @@
     }
 
     /// Logs when the document stops or starts to be confirmed.
-    pub fn watch_confirmation(&self) {
-        let confirmed = self.is_document_validated();
-        if self.confirmed.replace(confirmed) == confirmed {
+    pub fn log_validation_change(&self) {
+        let validated = self.is_document_validated();
+        if self.was_validated.replace(validated) == validated {
             return;
         }
         let version = self.directory.borrow().document().version;
         let age = self.validation.borrow().proof_age(self.now());
-        if confirmed {
+        if validated {
             log_event!(LogEvent::DocumentConfirmed, "version={version} proof_age={age:?}");
         } else {
             log_event!(LogEvent::DocumentUnconfirmed, "version={version} proof_age={age:?}");
@@ -194,14 +194,14 @@
     }
 
     /// Announces that the instance is about to stop.
-    pub fn leave(&self) {
+    pub fn start_leaving(&self) {
         self.leaving_since.set(Some(self.now()));
         self.leave_signal.notify_waiters();
         self.status_changed.notify_waiters();
     }
 
     /// Waits until the instance is about to stop.
-    pub async fn left(&self) {
+    pub async fn wait_for_leaving(&self) {
         let signal = self.leave_signal.notified();
         if !self.is_leaving() {
             signal.await;
@@ -211,31 +211,31 @@
     /// Tells whether team buckets may start full: nothing was admitted before.
     pub fn is_first_start(&self) -> bool {
         let age = self.now().saturating_duration_since(self.started_at);
-        self.settings.first_start && age < FIRST_START_TIME
+        self.settings.first_start && age < FIRST_START_PERIOD
     }
 
     /// Returns a number for a transaction, unique on this instance.
     pub fn new_transaction_id(&self) -> u32 {
-        let channel = self.next_channel.get();
-        self.next_channel.set(channel.wrapping_add(1).max(1));
-        channel
+        let transaction_id = self.next_transaction_id.get();
+        self.next_transaction_id.set(transaction_id.wrapping_add(1).max(1));
+        transaction_id
     }
 
     /// Returns a number for a session, unique over all instances.
-    pub fn new_session(&self) -> u64 {
-        let session = self.next_session.get();
-        self.next_session.set(session.wrapping_add(1));
-        (self.settings.record.incarnation & 0xffff_ffff) << 32 | u64::from(session)
+    pub fn new_session_id(&self) -> u64 {
+        let session_id = self.next_session_id.get();
+        self.next_session_id.set(session_id.wrapping_add(1));
+        (self.settings.record.incarnation & 0xffff_ffff) << 32 | u64::from(session_id)
     }
 
     /// Records whether the store answers.
-    pub fn record_store_status(&self, reached: bool, detail: &str) {
-        if self.store_reached.replace(reached) == reached {
+    pub fn record_store_status(&self, reachable: bool, detail: &str) {
+        if self.store_reachable.replace(reachable) == reachable {
             return;
         }
         // Others rely on whoever reads the store for them.
         self.status_changed.notify_waiters();
-        if reached {
+        if reachable {
             log_event!(LogEvent::PlatformFound, "service=store");
         } else {
             log_event!(LogEvent::PlatformLost, "service=store cause=\"{detail}\"");
@@ -243,8 +243,8 @@
     }
 
     /// Tells whether the store answered last.
-    pub fn is_store_reached(&self) -> bool {
-        self.store_reached.get()
+    pub fn is_store_reachable(&self) -> bool {
+        self.store_reachable.get()
     }
 
     /// Returns the fencing token if this instance is on duty.
@@ -267,8 +267,8 @@
             leaving: self.is_leaving(),
             tables: self.tables.borrow().versions(),
             duty: self.promotion_token.get(),
-            store_reached: self.store_reached.get(),
-            failing: self.pools.failing(),
+            store_reached: self.store_reachable.get(),
+            failing: self.pools.failing_endpoints(),
             leaders: directory.leaders(),
         }
     }
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -14,13 +14,13 @@
 use crate::link::{PlatformLink, WatchedTable};
 
 /// Part of the grace period after which the instance ends whatever is still open.
-const STOP_PART: f64 = 0.85;
+const DRAIN_FRACTION: f64 = 0.85;
 /// Time between looks at what is still open.
-const STOP_TICK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between closings of connections that are of no use.
-const TIDY_PERIOD: Duration = Duration::from_millis(500);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for which other instances learn that this one leaves before it may end.
-const NOTICE_TIME: Duration = Duration::from_millis(2_600);
+const LEAVE_NOTICE_PERIOD: Duration = Duration::from_millis(2_600);
 
 /// Error of starting an instance.
 #[derive(Debug, Snafu)]
@@ -48,14 +48,14 @@
         tokio::task::spawn_local(self.clone().ping_peers());
         tokio::task::spawn_local(self.clone().track_reachability());
         tokio::task::spawn_local(self.clone().serve_duty());
-        let node = self.clone();
+        let instance = self.clone();
         tokio::task::spawn_local(async move {
             loop {
-                sleep(TIDY_PERIOD).await;
-                node.evict_idle_connections();
-                node.watch_confirmation();
-                gauge!(meter::CALLERS).set(node.callers.get() as f64);
-                gauge!(meter::ENDPOINT_WORK).set(node.pools.work() as f64);
+                sleep(MAINTENANCE_INTERVAL).await;
+                instance.evict_idle_connections();
+                instance.log_validation_change();
+                gauge!(meter::CALLERS).set(instance.caller_count.get() as f64);
+                gauge!(meter::ENDPOINT_WORK).set(instance.pools.outstanding_requests() as f64);
             }
         });
         Ok(())
@@ -63,24 +63,24 @@
 
     /// Takes nothing new, lets open work end and returns when the process may end.
     pub async fn stop(self: &Rc<Self>) {
-        log_event!(LogEvent::DrainStarted, "callers={}", self.callers.get());
-        self.leave();
+        log_event!(LogEvent::DrainStarted, "callers={}", self.caller_count.get());
+        self.start_leaving();
         let removal = self.platform.remove_instance(self.name());
-        let begun_at = self.now();
+        let started_at = self.now();
         tokio::pin!(removal);
-        let removed = tokio::time::timeout(NOTICE_TIME, removal).await;
+        let removed = tokio::time::timeout(LEAVE_NOTICE_PERIOD, removal).await;
         if let Ok(Err(error)) = &removed {
             log_event!(LogEvent::PlatformLost, "step=unregister cause=\"{error}\"");
         }
-        let latest = self.grace_period().mul_f64(STOP_PART);
+        let drain_timeout = self.grace_period().mul_f64(DRAIN_FRACTION);
         loop {
-            let over = self.now().saturating_duration_since(begun_at);
-            let open = self.callers.get() > 0 || self.pools.has_pinned_connections();
-            if over >= latest || (over >= NOTICE_TIME && !open) {
+            let elapsed = self.now().saturating_duration_since(started_at);
+            let open = self.caller_count.get() > 0 || self.pools.has_pinned_connections();
+            if elapsed >= drain_timeout || (elapsed >= LEAVE_NOTICE_PERIOD && !open) {
                 break;
             }
-            sleep(STOP_TICK).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
-        log_event!(LogEvent::DrainEnded, "callers={}", self.callers.get());
+        log_event!(LogEvent::DrainEnded, "callers={}", self.caller_count.get());
     }
 }
--- a/crates/engine/src/line_buffer.rs
+++ b/crates/engine/src/line_buffer.rs
@@ -6,7 +6,7 @@
 /// End of a line.
 const LINE_END: &[u8; 2] = b"\r\n";
 /// Bytes read at once.
-const READ_BYTES: usize = 2_048;
+const READ_SIZE: usize = 2_048;
 
 /// Bytes received and not yet consumed.
 #[derive(Debug, Default)]
@@ -19,10 +19,10 @@
 impl LineBuffer {
     /// Returns the length of the first line if it is whole.
     pub fn line_length(&mut self) -> Option<usize> {
-        let rest = &self.input[self.scanned..];
-        let found = rest.windows(LINE_END.len()).position(|pair| pair == LINE_END);
+        let unscanned = &self.input[self.scanned..];
+        let found = unscanned.windows(LINE_END.len()).position(|pair| pair == LINE_END);
         match found {
-            Some(place) => Some(self.scanned + place),
+            Some(offset) => Some(self.scanned + offset),
             None => {
                 self.scanned = self.input.len().saturating_sub(1);
                 None
@@ -58,7 +58,7 @@
 
     /// Reads more bytes; zero at the end of the stream.
     pub async fn fill(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> std::io::Result<usize> {
-        self.input.reserve(READ_BYTES);
+        self.input.reserve(READ_SIZE);
         stream.read_buf(&mut self.input).await
     }
 }
--- a/crates/engine/src/peer_link.rs
+++ b/crates/engine/src/peer_link.rs
@@ -24,13 +24,13 @@
 /// Time without an answer to a ping after which another instance counts as lost.
 pub(crate) const PING_TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes waiting for a connection above which it counts as stuck.
-const OUTPUT_LIMIT: usize = 8 << 20;
+const MAX_OUTPUT_BYTES: usize = 8 << 20;
 
 /// Bytes that a connection's writer has still to send.
 #[derive(Debug, Default)]
 pub(crate) struct OutputQueue {
     pub(crate) bytes: RefCell<Vec<u8>>,
-    pub(crate) filled: Notify,
+    pub(crate) data_ready: Notify,
     pub(crate) closed: Cell<bool>,
 }
 
@@ -43,15 +43,15 @@
         if let Err(error) = encode(message, &mut bytes) {
             log_event!(LogEvent::PeerLost, "cause=\"message not sent: {error}\"");
         }
-        if bytes.len() > OUTPUT_LIMIT {
+        if bytes.len() > MAX_OUTPUT_BYTES {
             self.closed.set(true);
         }
-        self.filled.notify_one();
+        self.data_ready.notify_one();
     }
 
     pub(crate) fn close(&self) {
         self.closed.set(true);
-        self.filled.notify_one();
+        self.data_ready.notify_one();
     }
 
     pub(crate) async fn drain(&self, mut stream: OwnedWriteHalf) {
@@ -61,7 +61,7 @@
                 return;
             }
             if bytes.is_empty() {
-                self.filled.notified().await;
+                self.data_ready.notified().await;
             } else if stream.write_all(&bytes).await.is_err() {
                 self.closed.set(true);
                 return;
@@ -73,17 +73,17 @@
 /// Status as told on one connection.
 #[derive(Debug, Default)]
 pub(crate) struct StatusPublisher {
-    pub(crate) told: RefCell<InstanceStatus>,
+    pub(crate) published: RefCell<InstanceStatus>,
     pub(crate) version: Cell<u32>,
 }
 
 impl StatusPublisher {
     /// Takes the present status; tells whether it has changed.
     pub(crate) fn refresh(&self, status: InstanceStatus) -> bool {
-        let changed = self.version.get() == 0 || *self.told.borrow() != status;
+        let changed = self.version.get() == 0 || *self.published.borrow() != status;
         if changed {
             self.version.set(self.version.get() + 1);
-            *self.told.borrow_mut() = status;
+            *self.published.borrow_mut() = status;
         }
         changed
     }
@@ -97,21 +97,21 @@
         proof: Option<DocumentProof>,
     ) {
         let version = self.version.get();
-        let status = (known != version).then(|| Box::new(self.told.borrow().clone()));
+        let status = (known != version).then(|| Box::new(self.published.borrow().clone()));
         output.push(&PeerReply::Pong { number, proof, version, status });
     }
 }
 
 /// Who waits for the answers to calls of one kind, by the number of the call.
-type CallWaiters<T> = HashMap<u32, oneshot::Sender<T>>;
+type ReplySenders<T> = HashMap<u32, oneshot::Sender<T>>;
 
 /// Calls that wait for an answer.
 #[derive(Debug, Default)]
 pub(crate) struct PendingCalls {
-    pub(crate) execute: CallWaiters<ExecuteReply>,
-    pub(crate) count: CallWaiters<CountAnswer>,
-    pub(crate) probe: CallWaiters<bool>,
-    pub(crate) table: CallWaiters<(Vec<StoredRow>, u64)>,
+    pub(crate) execute: ReplySenders<ExecuteReply>,
+    pub(crate) admission: ReplySenders<CountAnswer>,
+    pub(crate) probe: ReplySenders<bool>,
+    pub(crate) table: ReplySenders<(Vec<StoredRow>, u64)>,
 }
 
 /// Connection that this instance opened to another one.
@@ -165,7 +165,7 @@
 
     pub(crate) fn has_pending_calls(&self) -> bool {
         let pending = self.pending.borrow();
-        !pending.execute.is_empty() || !pending.count.is_empty()
+        !pending.execute.is_empty() || !pending.admission.is_empty()
     }
 
     pub(crate) fn next_call_number(&self) -> u32 {
@@ -177,62 +177,62 @@
     /// Runs statements at the other instance.
     pub async fn execute(&self, body: ExecuteCall) -> ExecuteReply {
         if self.output.borrow().is_none() {
-            return not_held();
+            return no_owner_reply();
         }
-        let limit = Duration::from_millis(u64::from(body.answer_within_ms)) + PING_TIMEOUT;
+        let answer_timeout = Duration::from_millis(u64::from(body.answer_within_ms)) + PING_TIMEOUT;
         let request = |call| PeerRequest::Execute { call, body: Box::new(body) };
-        let reply = self.ask(|pending| &mut pending.execute, limit, request).await;
+        let reply = self.send_call(|pending| &mut pending.execute, answer_timeout, request).await;
         let lost = ExecuteReply { outcome: ExecuteOutcome::Lost, queue_ms: 0, mark: None };
         reply.unwrap_or(lost)
     }
 
     /// Ends a transaction whose connection the other instance holds.
-    pub fn release(&self, channel: u32) {
-        self.send(&PeerRequest::Release { channel });
+    pub fn release(&self, transaction_id: u32) {
+        self.send(&PeerRequest::Release { channel: transaction_id });
     }
 
     /// Asks whether an operation of a team may start; none without an answer in time.
-    pub async fn count(
+    pub async fn request_admission(
         &self,
         team: &str,
-        level: UrgencyLevel,
-        patience: Duration,
-        limit: Duration,
+        priority: UrgencyLevel,
+        max_wait: Duration,
+        answer_timeout: Duration,
     ) -> Option<CountAnswer> {
-        let (team, patience_ms) = (team.to_owned(), millis(patience));
-        let request = |call| PeerRequest::Count { call, team, level, patience_ms };
-        self.ask(|pending| &mut pending.count, limit, request).await
+        let (team, patience_ms) = (team.to_owned(), millis(max_wait));
+        let request = |call| PeerRequest::Count { call, team, level: priority, patience_ms };
+        self.send_call(|pending| &mut pending.admission, answer_timeout, request).await
     }
 
     /// Asks whether the other instance reaches an endpoint; none without an answer in time.
-    pub async fn probe(&self, endpoint: &str, limit: Duration) -> Option<bool> {
+    pub async fn probe(&self, endpoint: &str, answer_timeout: Duration) -> Option<bool> {
         let request = |call| PeerRequest::Probe { call, endpoint: endpoint.to_owned() };
-        self.ask(|pending| &mut pending.probe, limit, request).await
+        self.send_call(|pending| &mut pending.probe, answer_timeout, request).await
     }
 
     /// Fetches the other instance's copy of a table; none without an answer in time.
     pub async fn fetch_table(
         &self,
         table: WatchedTable,
-        limit: Duration,
+        answer_timeout: Duration,
     ) -> Option<(Vec<StoredRow>, u64)> {
         let request = |call| PeerRequest::Table { call, table };
-        self.ask(|pending| &mut pending.table, limit, request).await
+        self.send_call(|pending| &mut pending.table, answer_timeout, request).await
     }
 
     /// Sends a request under a new number and waits for its answer; none without one in time.
-    async fn ask<T>(
+    async fn send_call<T>(
         &self,
-        waiters: fn(&mut PendingCalls) -> &mut CallWaiters<T>,
-        limit: Duration,
+        senders: fn(&mut PendingCalls) -> &mut ReplySenders<T>,
+        answer_timeout: Duration,
         request: impl FnOnce(u32) -> PeerRequest,
     ) -> Option<T> {
         let call = self.next_call_number();
         let (sender, receiver) = oneshot::channel();
-        waiters(&mut self.pending.borrow_mut()).insert(call, sender);
+        senders(&mut self.pending.borrow_mut()).insert(call, sender);
         self.send(&request(call));
-        let answer = timeout(limit, receiver).await;
-        waiters(&mut self.pending.borrow_mut()).remove(&call);
+        let answer = timeout(answer_timeout, receiver).await;
+        senders(&mut self.pending.borrow_mut()).remove(&call);
         answer.ok()?.ok()
     }
 
@@ -253,30 +253,30 @@
                 }
             }
             PeerReply::Execute { call, body } => {
-                answer(&mut pending.execute, call, *body);
+                deliver(&mut pending.execute, call, *body);
             }
             PeerReply::Count { call, answer: counted } => {
-                answer(&mut pending.count, call, counted);
+                deliver(&mut pending.admission, call, counted);
             }
             PeerReply::Probe { call, reached } => {
-                answer(&mut pending.probe, call, reached);
+                deliver(&mut pending.probe, call, reached);
             }
             PeerReply::Table { call, rows, version } => {
-                answer(&mut pending.table, call, (rows, version));
+                deliver(&mut pending.table, call, (rows, version));
             }
         }
     }
 }
 
 /// Hands an answer to whoever waits for it.
-fn answer<T>(waiters: &mut CallWaiters<T>, call: u32, content: T) {
-    if let Some(sender) = waiters.remove(&call) {
+fn deliver<T>(senders: &mut ReplySenders<T>, call: u32, content: T) {
+    if let Some(sender) = senders.remove(&call) {
         // A caller that no longer waits has dropped its receiver; the answer is of no use then.
         let _ = sender.send(content);
     }
 }
 
-fn not_held() -> ExecuteReply {
+fn no_owner_reply() -> ExecuteReply {
     let outcome = ExecuteOutcome::NotSent { reason: HoldReason::NoHolder, retry_ms: 0 };
     ExecuteReply { outcome, queue_ms: 0, mark: None }
 }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -14,7 +14,7 @@
 use crate::endpoint_connection::{EndpointConnection, EndpointError};
 
 /// Time between attempts to reach an endpoint that failed.
-pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(150);
+pub(crate) const RECONNECT_BACKOFF: Duration = Duration::from_millis(150);
 
 pub(crate) type PermitSender = oneshot::Sender<()>;
 
@@ -40,33 +40,33 @@
     pub(crate) endpoint: String,
     pub(crate) service: String,
     pub(crate) address: SocketAddr,
-    pub(crate) born_ms: u64,
+    pub(crate) started_ms: u64,
     pub(crate) queue: RefCell<UrgencyQueue<u64, PermitSender>>,
     pub(crate) idle: RefCell<Vec<IdleConnection>>,
-    pub(crate) open: Cell<usize>,
-    pub(crate) limit: Cell<usize>,
-    pub(crate) freed: Notify,
+    pub(crate) open_count: Cell<usize>,
+    pub(crate) max_open: Cell<usize>,
+    pub(crate) connection_freed: Notify,
     pub(crate) failing_since: Cell<Option<Instant>>,
-    pub(crate) tried_at: Cell<Option<Instant>>,
-    pub(crate) heard_at: Cell<Option<Instant>>,
-    pub(crate) probing: Cell<bool>,
-    pub(crate) refused_at: Cell<Option<Instant>>,
+    pub(crate) last_attempt_at: Cell<Option<Instant>>,
+    pub(crate) last_response_at: Cell<Option<Instant>>,
+    pub(crate) probe_in_flight: Cell<bool>,
+    pub(crate) connections_refused_at: Cell<Option<Instant>>,
 }
 
 /// Permit to run at an endpoint; given back when dropped.
 pub(crate) struct RunPermit {
     pub(crate) pool: Rc<EndpointPool>,
     pub(crate) clock: SharedClock,
-    pub(crate) level: UrgencyLevel,
+    pub(crate) priority: UrgencyLevel,
     pub(crate) team: u64,
-    pub(crate) taken_at: Instant,
+    pub(crate) acquired_at: Instant,
 }
 
 impl Drop for RunPermit {
     fn drop(&mut self) {
         let now = self.clock.now();
-        let held = now.saturating_duration_since(self.taken_at);
-        self.pool.queue.borrow_mut().release(self.level, self.team, held);
+        let held = now.saturating_duration_since(self.acquired_at);
+        self.pool.queue.borrow_mut().release(self.priority, self.team, held);
         self.pool.wake_next(now);
     }
 }
@@ -86,20 +86,20 @@
         }
     }
 
-    pub(crate) fn close(&self, connection: EndpointConnection) {
+    pub(crate) fn close_connection(&self, connection: EndpointConnection) {
         drop(connection);
-        self.open.set(self.open.get().saturating_sub(1));
-        self.freed.notify_one();
+        self.open_count.set(self.open_count.get().saturating_sub(1));
+        self.connection_freed.notify_one();
     }
 
-    pub(crate) fn note_reached(&self, now: Instant) {
-        self.heard_at.set(Some(now));
+    pub(crate) fn record_response(&self, now: Instant) {
+        self.last_response_at.set(Some(now));
         if self.failing_since.replace(None).is_some() {
             log_event!(LogEvent::MemberFound, "endpoint={}", self.endpoint);
         }
     }
 
-    pub(crate) fn note_failed(&self, now: Instant, cause: &EndpointError) {
+    pub(crate) fn record_failure(&self, now: Instant, cause: &EndpointError) {
         if self.failing_since.get().is_none() {
             self.failing_since.set(Some(now));
             log_event!(LogEvent::MemberLost, "endpoint={} cause=\"{cause}\"", self.endpoint);
@@ -107,33 +107,33 @@
     }
 
     /// Tells whether the endpoint failed so recently that another attempt is not worth while.
-    pub(crate) fn is_shunned(&self, now: Instant) -> bool {
-        let recent = |at: Instant| now.saturating_duration_since(at) < RETRY_PAUSE;
-        self.failing_since.get().is_some() && self.tried_at.get().is_some_and(recent)
+    pub(crate) fn is_in_backoff(&self, now: Instant) -> bool {
+        let recent = |at: Instant| now.saturating_duration_since(at) < RECONNECT_BACKOFF;
+        self.failing_since.get().is_some() && self.last_attempt_at.get().is_some_and(recent)
     }
 }
 
 /// Why no connection could be had.
-pub(crate) enum TakeError {
+pub(crate) enum AcquireError {
     Unreachable,
     Full,
 }
 
 /// Takes the connection of a team that was used last.
-pub(crate) fn take_idle(pool: &EndpointPool, team: &str) -> Option<IdleConnection> {
+pub(crate) fn acquire_idle(pool: &EndpointPool, team: &str) -> Option<IdleConnection> {
     let mut idle = pool.idle.borrow_mut();
     loop {
-        let place = idle.iter().rposition(|idle| idle.team == team)?;
-        let found = idle.remove(place);
-        if !found.connection.is_spoilt() {
+        let index = idle.iter().rposition(|idle| idle.team == team)?;
+        let found = idle.remove(index);
+        if !found.connection.is_broken() {
             return Some(found);
         }
-        pool.open.set(pool.open.get().saturating_sub(1));
+        pool.open_count.set(pool.open_count.get().saturating_sub(1));
     }
 }
 
 /// Takes the connection that has been idle for longest.
-pub(crate) fn take_oldest_idle(pool: &EndpointPool) -> Option<IdleConnection> {
+pub(crate) fn remove_oldest_idle(pool: &EndpointPool) -> Option<IdleConnection> {
     let mut idle = pool.idle.borrow_mut();
     if idle.is_empty() { None } else { Some(idle.remove(0)) }
 }
