--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of operations within the limits of their teams.
+//! Admission of operations within the rate limits of teams.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,19 +11,19 @@
 use crate::instance::{EngineTypes, GatewayInstance};
 use crate::message::CountAnswer;
 
-/// Time in which the counter of a team must answer.
+/// Bounds the wait for the answer of a quota owner.
 const ADMISSION_TIMEOUT: Duration = Duration::from_millis(150);
-/// Counters asked before an instance counts for itself.
+/// Quota owners asked before the instance decides locally.
 const MAX_QUOTA_OWNERS: usize = 2;
-/// Least time to state when an operation is refused.
+/// Shortest retry delay stated in a refusal.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Time between observations of who can be reached.
+/// Interval at which the reachable fraction of instances is updated.
 const REACHABILITY_INTERVAL: Duration = Duration::from_millis(200);
 
 impl<E: EngineTypes> GatewayInstance<E> {
-    /// Admits an operation of a team, or tells after which time it could be admitted.
+    /// Admits an operation of a team, or returns the delay after which a retry may be admitted.
     ///
-    /// A short wait for the next token is spent here, up to `patience`.
+    /// Sleeps until the next token is available if that takes at most `max_wait`.
     pub async fn admit(
         self: &Rc<Self>,
         team: &str,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Counts an operation here, as the counter of its team.
+    /// Decides about an operation as the quota owner of its team.
     pub fn admit_locally(
         &self,
         team: &str,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Keeps the counters informed about who can be reached.
+    /// Updates the reachable fraction of instances that the quotas are scaled by.
     pub async fn track_reachability(self: Rc<Self>) {
         loop {
             let reached = self.peers.live().len() + 1;
@@ -79,6 +79,7 @@
         }
     }
 
+    /// Asks the quota owner of a team for a decision, or decides locally if none answers.
     async fn request_admission(
         self: &Rc<Self>,
         team: &str,
--- a/crates/engine/src/caller.rs
+++ b/crates/engine/src/caller.rs
@@ -1,4 +1,4 @@
-//! Session of a caller: reads requests, lets members run them and writes answers.
+//! Caller sessions: reads requests, forwards statements to endpoints and writes the answers.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -21,20 +21,22 @@
 use crate::operation::{OperationContext, OperationResult, PinnedPlace};
 use crate::record::RouteRecord;
 
-/// Time in which a caller must open its session.
+/// Bounds the wait for a caller's startup request.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time for which the opening of a session waits for the first document; callers give up after 2 s.
+/// Bounds the wait of a startup request for the first document; callers give up after 2 s.
 const FIRST_DOCUMENT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Time between looks for the first document.
+/// Interval at which a startup request checks for the first document.
 const DOCUMENT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Pause after an accept that failed, for want of descriptors as a rule.
+/// Pause after a failed accept, which usually means that file descriptors ran out.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// Time in which a caller must take an answer.
+/// Bounds the write of an answer to a caller.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for which the balancer may still send callers here after the instance said it leaves.
+/// Time for which idle sessions stay open after the instance announces that it is leaving.
+///
+/// The load balancer may still route callers to the instance for this long.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2_300);
 
-/// Open session.
+/// Session of one caller.
 struct CallerSession<E: EngineTypes> {
     instance: Rc<GatewayInstance<E>>,
     reader: OwnedReadHalf,
@@ -45,14 +47,14 @@
     machine: SessionDialogue,
     session_id: u64,
     pinned: Option<PinnedPlace>,
-    /// Arrival of the statement that is being answered.
+    /// Time at which the current statement arrived.
     arrived_at: Instant,
 }
 
-/// Route that a caller may use, with its team.
+/// Route that the caller may use, and the caller's team.
 type AuthorizedRoute = (Rc<RouteRecord>, Rc<str>);
 
-/// What a session waits for.
+/// Event that a session waits for.
 enum SessionEvent {
     Line(usize, Instant),
     Closed,
@@ -61,7 +63,7 @@
 }
 
 impl<E: EngineTypes> GatewayInstance<E> {
-    /// Accepts callers.
+    /// Accepts caller connections and serves each in a task of its own.
     pub async fn accept_callers(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -107,7 +109,7 @@
 }
 
 impl<E: EngineTypes> CallerSession<E> {
-    /// Reads the opening of the session and answers it; none if the session is not open.
+    /// Handles the startup request. Returns `None` if the session was not opened.
     async fn open(&mut self) -> Option<()> {
         let first = timeout(STARTUP_TIMEOUT, self.next_line()).await;
         let Ok(Some(length)) = first else {
@@ -116,17 +118,24 @@
         let request = E::Codec::decode_request(self.input.line(length));
         self.input.consume_line(length);
         let CallerRequest::Startup { database, key } = request else {
-            self.refuse_startup(RefusalCode::Malformed, "a session must be opened first").await;
+            self.refuse_startup(
+                RefusalCode::Malformed,
+                "the first request must be a startup request",
+            )
+            .await;
             return None;
         };
         (self.database, self.key) = (database, key);
         if !self.wait_for_document().await {
-            self.refuse_startup(RefusalCode::Busy, "not run: the instance has no document yet")
-                .await;
+            self.refuse_startup(
+                RefusalCode::Busy,
+                "not run: the instance has not received a document yet",
+            )
+            .await;
             return None;
         }
-        if let Err((code, text)) = self.authorize() {
-            self.refuse_startup(code, text).await;
+        if let Err((code, explanation)) = self.authorize() {
+            self.refuse_startup(code, explanation).await;
             return None;
         }
         let mut out = Vec::new();
@@ -134,7 +143,9 @@
         self.write(&out).await
     }
 
-    /// Waits a short while for the first document; without one nobody can be told what exists.
+    /// Waits for the first document, without which no database or key is known.
+    ///
+    /// Returns false after [`FIRST_DOCUMENT_TIMEOUT`].
     async fn wait_for_document(&self) -> bool {
         let started_at = self.instance.now();
         while !self.instance.directory.borrow().is_complete() {
@@ -146,7 +157,7 @@
         true
     }
 
-    async fn refuse_startup(&mut self, code: RefusalCode, text: &str) {
+    async fn refuse_startup(&mut self, code: RefusalCode, explanation: &str) {
         log_event!(
             LogEvent::CallerRefused,
             "database={} code={code:?} document={}",
@@ -154,9 +165,9 @@
             self.document().version
         );
         let mut out = Vec::new();
-        E::Codec::encode_error(&mut out, code, text);
+        E::Codec::encode_error(&mut out, code, explanation);
         if self.write(&out).await.is_some() {
-            // A caller that is gone already has no use for the end of the connection.
+            // The caller may have closed the connection already.
             let _ = self.writer.shutdown().await;
         }
     }
@@ -180,7 +191,7 @@
                         CallerRequest::Startup { .. } | CallerRequest::Malformed => {
                             let mut out = Vec::new();
                             let code = RefusalCode::Malformed;
-                            E::Codec::encode_error(&mut out, code, "request cannot be understood");
+                            E::Codec::encode_error(&mut out, code, "malformed request");
                             E::Codec::encode_ready(&mut out, self.machine.state());
                             if self.write(&out).await.is_none() {
                                 return;
@@ -198,7 +209,7 @@
         }
     }
 
-    /// Waits for a request, for the end of the session or for the end of a transaction's rest.
+    /// Waits for the next request, the end of the session or the idle timeout of a transaction.
     async fn next_event(&mut self) -> SessionEvent {
         if let Some(length) = self.input.line_length() {
             return SessionEvent::Line(length, self.instance.now());
@@ -220,7 +231,8 @@
             if !between_transactions {
                 std::future::pending::<()>().await;
             }
-            // Closed before the balancer passes this instance over, callers would come back to it.
+            // If sessions closed before the balancer stops using this instance, callers would
+            // reconnect to it.
             let since = instance.leaving_since().unwrap_or_else(|| instance.now());
             let elapsed = instance.now().saturating_duration_since(since);
             sleep(IDLE_CLOSE_DELAY.saturating_sub(elapsed)).await;
@@ -240,7 +252,7 @@
         next_line::<E>(&mut self.input, &mut self.reader).await
     }
 
-    /// Decides about a statement and returns the answer.
+    /// Handles a statement and returns the encoded answer.
     async fn answer_statement(
         &mut self,
         id: &str,
@@ -281,6 +293,7 @@
         out
     }
 
+    /// Runs a statement on an endpoint and appends the encoded answer to `out`.
     async fn forward(
         &mut self,
         plan: &ForwardPlan,
@@ -322,27 +335,28 @@
                     self.log_refusal(id, code, &explanation);
                     E::Codec::encode_error(out, code, &explanation);
                 } else {
-                    self.log_refusal(id, code, "answer of the member");
+                    self.log_refusal(id, code, "error response of the endpoint");
                     out.extend_from_slice(&content);
                 }
             }
         }
     }
 
-    /// Returns route and team, or why the caller may not go on.
+    /// Returns the route and the team of the caller, or the reason of the refusal.
     fn authorize(&self) -> Result<AuthorizedRoute, (RefusalCode, &'static str)> {
         let document = self.document();
         let Some(route) = document.route(&self.database) else {
-            return Err((RefusalCode::UnknownDatabase, "no database of that name"));
+            return Err((RefusalCode::UnknownDatabase, "unknown database"));
         };
         let team = self.key.as_deref().and_then(|key| document.team_of(key));
         match team {
-            Some(_) if !self.instance.is_document_validated() => {
-                Err((RefusalCode::Busy, "not run: whether the key is still valid cannot be told"))
-            }
+            Some(_) if !self.instance.is_document_validated() => Err((
+                RefusalCode::Busy,
+                "not run: the instance cannot confirm that the key is still valid",
+            )),
             Some(team) => Ok((route, team)),
             None if route.open_to_all => Ok((route, ANONYMOUS_TEAM.into())),
-            None => Err((RefusalCode::UnknownKey, "the key is not known")),
+            None => Err((RefusalCode::UnknownKey, "unknown key")),
         }
     }
 
@@ -367,22 +381,25 @@
         );
     }
 
-    /// Ends the open transaction at the member.
+    /// Rolls back the open transaction at its endpoint, if there is one.
     fn release_transaction(&mut self) {
         if let Some(place) = self.pinned.take() {
             self.instance.dispatch_release(&place.holder, place.channel);
         }
     }
 
+    /// Writes to the caller. Returns `None` on failure or after [`WRITE_TIMEOUT`].
     async fn write(&mut self, bytes: &[u8]) -> Option<()> {
         timeout(WRITE_TIMEOUT, self.writer.write_all(bytes)).await.ok()?.ok()
     }
 }
 
-/// Name under which callers without a key are known to endpoints.
+/// Team name that endpoints see for callers without a key.
 const ANONYMOUS_TEAM: &str = "-";
 
-/// Reads until a whole line is there; none at the end of the stream or past the longest line.
+/// Reads until the buffer holds a whole line and returns its length.
+///
+/// Returns `None` at the end of the stream, on a read error or if the line exceeds the limit.
 async fn next_line<E: EngineTypes>(
     input: &mut LineBuffer,
     reader: &mut OwnedReadHalf,
@@ -404,10 +421,10 @@
 fn describe_error(error: DialogueError) -> (RefusalCode, &'static str) {
     match error {
         DialogueError::Malformed => {
-            (RefusalCode::Malformed, "statement makes no sense in this state of the session")
+            (RefusalCode::Malformed, "statement is not allowed in the current transaction state")
         }
-        DialogueError::UnknownName => (RefusalCode::UnknownName, "no statement of that name"),
+        DialogueError::UnknownName => (RefusalCode::UnknownName, "unknown prepared statement"),
         DialogueError::RolledBack => (RefusalCode::Aborted, "the transaction was rolled back"),
-        DialogueError::ReadOnly => (RefusalCode::ReadOnly, "the transaction only reads"),
+        DialogueError::ReadOnly => (RefusalCode::ReadOnly, "the transaction is read-only"),
     }
 }
--- a/crates/engine/src/connection_owner.rs
+++ b/crates/engine/src/connection_owner.rs
@@ -1,8 +1,8 @@
-//! Connections to the endpoints that this instance holds for all instances.
+//! Endpoint connections that this instance owns on behalf of all instances.
 //!
-//! An endpoint has one holder as long as all instances agree on who is there, so its queue is one
-//! queue and its connections are counted in one place. While two instances disagree, the endpoint
-//! refuses what is beyond its own limit, and the refused holder waits.
+//! An endpoint has one connection owner as long as all instances agree on the set of live instances,
+//! so there is one queue and one connection count per endpoint. While they disagree, the endpoint
+//! itself refuses connections over its limit, and the refused owner backs off.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -33,27 +33,30 @@
     acquire_idle, remove_oldest_idle,
 };
 
-/// Permits beyond the endpoint's slots: keeps the slots busy during the way of an answer.
+/// Permits beyond the endpoint's slots, which keep the slots busy while answers are in transit.
 const EXTRA_PERMITS: usize = 1;
-/// Time after an endpoint refused a connection for their number until another is tried.
+/// Pause before the next connection attempt after the endpoint refused one for capacity.
 const CONNECTION_LIMIT_BACKOFF: Duration = Duration::from_millis(100);
-/// Least time given to the opening of a connection, however little is left to its request.
+/// Shortest timeout for opening a connection, even if the request has less time left.
 const MIN_OPEN_TIMEOUT: Duration = Duration::from_millis(60);
-/// Silence of an endpoint with work outstanding after which a fresh connection is tried.
+/// Time without any response to outstanding statements after which the endpoint is probed on a new
+/// connection.
 const STALL_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time in which a fresh connection must answer a probe.
+/// Bounds a probe, including the opening of its connection.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(350);
-/// Time in which a member must roll back or prove that an idle connection works.
+/// Bounds a rollback and the health check of an idle connection.
 const CLEANUP_TIMEOUT: Duration = Duration::from_millis(400);
-/// Idle time after which a connection must prove itself before it carries a write.
+/// Idle time after which a connection is checked before it carries a statement that cannot be sent
+/// again.
 const MIN_IDLE_BEFORE_CHECK: Duration = Duration::from_millis(1_500);
-/// Setup of a connection whose values are not known.
+/// Setup identifier of a connection whose session settings are not known.
 const UNKNOWN_SETUP: u64 = u64::MAX;
 
-/// Origin of calls: the connection to another instance, or zero for this one.
+/// Identifies the source of calls: a connection from a peer instance, or zero for this instance.
 pub type CallOrigin = u64;
 
-/// Connections that this instance holds.
+/// Pools of the endpoints whose connections this instance owns, and the connections pinned to open
+/// transactions.
 #[derive(Debug, Default)]
 pub struct ConnectionPools {
     by_endpoint: RefCell<HashMap<String, Rc<EndpointPool>>>,
@@ -63,7 +66,7 @@
 }
 
 impl ConnectionPools {
-    /// Returns a new origin for the calls of one connection to another instance.
+    /// Registers a connection from a peer instance and returns the origin of its calls.
     pub fn register_origin(&self) -> CallOrigin {
         let origin = self.next_origin.get() + 1;
         self.next_origin.set(origin);
@@ -71,7 +74,7 @@
         origin
     }
 
-    /// Returns the endpoints that have failed for a while.
+    /// Returns the sorted names of the endpoints that cannot be reached.
     pub fn failing_endpoints(&self) -> Vec<String> {
         let pools = self.by_endpoint.borrow();
         let failing = pools.values().filter(|pool| pool.failing_since.get().is_some());
@@ -80,12 +83,12 @@
         names
     }
 
-    /// Returns the time since which an endpoint has failed.
+    /// Returns the time since which an endpoint cannot be reached.
     pub fn failing_since(&self, endpoint: &str) -> Option<Instant> {
         self.by_endpoint.borrow().get(endpoint).and_then(|pool| pool.failing_since.get())
     }
 
-    /// Returns how many requests run or wait at the endpoints held here.
+    /// Returns the number of running and queued requests in all pools.
     pub fn outstanding_requests(&self) -> usize {
         let outstanding = |pool: &Rc<EndpointPool>| {
             let queue = pool.queue.borrow();
@@ -94,18 +97,19 @@
         self.by_endpoint.borrow().values().map(outstanding).sum()
     }
 
-    /// Tells whether transactions of other instances or of this one hold connections.
+    /// Returns whether any connection is pinned to an open transaction, of this or another instance.
     pub fn has_pinned_connections(&self) -> bool {
         !self.pinned.borrow().is_empty()
     }
 
+    /// Returns whether the calls come from this instance or from a peer connection that is open.
     fn is_live_origin(&self, origin: CallOrigin) -> bool {
         origin == 0 || self.live_origins.borrow().contains_key(&origin)
     }
 }
 
 impl<E: EngineTypes> GatewayInstance<E> {
-    /// Runs statements at an endpoint that this instance holds connections to.
+    /// Runs a call on an endpoint as its connection owner.
     pub async fn execute_locally(
         self: &Rc<Self>,
         origin: CallOrigin,
@@ -119,13 +123,13 @@
         let queue_wait = pool.queue.borrow().expected_wait(call.level);
         let directory = self.directory.borrow();
         let newest = directory.marks(&pool.service).and_then(|marks| marks.newest());
-        let age = |mark: ProvedMark| {
-            (mark.position, millis(now.saturating_duration_since(mark.asked_at)) + 1)
+        let with_age = |watermark: ProvedMark| {
+            (watermark.position, millis(now.saturating_duration_since(watermark.asked_at)) + 1)
         };
-        ExecuteReply { outcome, queue_ms: millis(queue_wait), mark: newest.map(age) }
+        ExecuteReply { outcome, queue_ms: millis(queue_wait), mark: newest.map(with_age) }
     }
 
-    /// Rolls a transaction back and frees its connection.
+    /// Rolls a transaction back and returns its connection to the pool.
     pub fn release_locally(self: &Rc<Self>, origin: CallOrigin, transaction_id: u32) {
         let pinned = self.pools.pinned.borrow_mut().remove(&(origin, transaction_id));
         let Some(pinned) = pinned else {
@@ -134,7 +138,7 @@
         self.roll_back(pinned);
     }
 
-    /// Closes the connections of all transactions of an origin that is gone.
+    /// Unregisters a closed peer connection and rolls back its open transactions.
     pub fn unregister_origin(self: &Rc<Self>, origin: CallOrigin) {
         self.pools.live_origins.borrow_mut().remove(&origin);
         let transactions: Vec<(CallOrigin, u32)> =
@@ -144,7 +148,9 @@
         }
     }
 
-    /// Asks a member about itself on a fresh connection.
+    /// Requests the status of an endpoint on a new connection.
+    ///
+    /// Returns `None` if the endpoint does not answer within [`PROBE_TIMEOUT`].
     pub async fn probe_member(&self, endpoint: &str) -> Option<MemberReport> {
         let (service, address) = {
             let directory = self.directory.borrow();
@@ -165,14 +171,18 @@
         }
     }
 
-    /// Closes connections that are of no use: idle for long, or of endpoints held by others.
+    /// Evicts connections that were idle for too long or that are broken, and removes the pools of
+    /// unregistered and restarted endpoints.
+    ///
+    /// Connections to endpoints that another instance owns have a shorter idle timeout.
     pub fn evict_idle_connections(self: &Rc<Self>) {
         let now = self.now();
         let pools: Vec<Rc<EndpointPool>> =
             self.pools.by_endpoint.borrow().values().cloned().collect();
         for pool in pools {
             if pool.failing_since.get().is_some() {
-                // Others hold its connections meanwhile, so no request tells when it is back.
+                // Another instance owns its connections meanwhile, so no request here would show
+                // that the endpoint has recovered.
                 self.spawn_probe(&pool);
             }
             self.resize_pool(&pool);
@@ -212,7 +222,8 @@
         }
     }
 
-    /// Brings limit and permits of a pool in line with document, registration and reach.
+    /// Updates connection limit and permits of a pool from the document, the registration and the
+    /// reachable fraction of instances.
     fn resize_pool(&self, pool: &EndpointPool) {
         let directory = self.directory.borrow();
         let document = directory.document();
@@ -225,7 +236,9 @@
         }
     }
 
-    /// Returns the pool of a registered endpoint; a restarted endpoint gets a new one.
+    /// Returns the pool of a registered endpoint and creates it if needed.
+    ///
+    /// A restarted endpoint gets a new pool.
     fn pool(&self, endpoint: &str) -> Option<Rc<EndpointPool>> {
         let directory = self.directory.borrow();
         let entry = directory.endpoint(endpoint)?;
@@ -256,6 +269,7 @@
         Some(pool)
     }
 
+    /// Waits for a permit and a connection, and runs a call on them.
     async fn execute_in_pool(
         self: &Rc<Self>,
         pool: &Rc<EndpointPool>,
@@ -316,6 +330,7 @@
         RunPermit { pool: pool.clone(), clock, priority, team, acquired_at }
     }
 
+    /// Acquires a permit, or returns the expected wait if the call would start too late.
     async fn acquire_permit(
         &self,
         pool: &Rc<EndpointPool>,
@@ -346,6 +361,7 @@
         }
     }
 
+    /// Takes an idle connection of the team, opens one or waits for one until `latest_start`.
     async fn acquire_connection(
         self: &Rc<Self>,
         pool: &Rc<EndpointPool>,
@@ -417,7 +433,8 @@
                     pool.connections_refused_at.set(Some(now));
                     return Err(AcquireError::Full);
                 }
-                // A request with little time left proves nothing about the endpoint.
+                // A timeout shorter than the usual one does not show that the endpoint is
+                // unreachable.
                 if open_timeout >= CONNECT_TIMEOUT
                     || !matches!(error, EndpointError::ConnectTimeout)
                 {
@@ -429,7 +446,7 @@
         }
     }
 
-    /// Lets an idle connection prove that it still works.
+    /// Checks an idle connection with a round trip. Returns `None` if it fails or times out.
     async fn check_connection(
         &self,
         mut connection: EndpointConnection,
@@ -445,7 +462,9 @@
         Some(connection)
     }
 
-    /// Sends the statements and reads their answers; none if the connection is lost.
+    /// Sends the statements and reads their answers. Returns `None` if the connection is lost.
+    ///
+    /// A statement that opens a transaction must succeed before the others are sent.
     async fn exchange(
         self: &Rc<Self>,
         pool: &Rc<EndpointPool>,
@@ -490,7 +509,10 @@
         Some(answers)
     }
 
-    /// Reads an answer; tries a fresh connection if the endpoint stays silent.
+    /// Reads an answer, and probes the endpoint on a new connection while it does not respond.
+    ///
+    /// Returns `None` if the connection is lost, or if the probe fails and the statements can be sent
+    /// again.
     async fn read_answer_or_probe(
         self: &Rc<Self>,
         pool: &Rc<EndpointPool>,
@@ -516,7 +538,7 @@
         }
     }
 
-    /// Tries a fresh connection to an endpoint that has been silent.
+    /// Probes an endpoint if none of its connections has had a response for [`STALL_TIMEOUT`].
     fn probe_if_silent(self: &Rc<Self>, pool: &Rc<EndpointPool>) {
         let now = self.now();
         let responded_recently = |at: Instant| now.saturating_duration_since(at) < STALL_TIMEOUT;
@@ -525,7 +547,7 @@
         }
     }
 
-    /// Tries a fresh connection to an endpoint.
+    /// Starts a probe of an endpoint unless one is in flight.
     fn spawn_probe(self: &Rc<Self>, pool: &Rc<EndpointPool>) {
         if pool.probe_in_flight.replace(true) {
             return;
@@ -546,6 +568,7 @@
         });
     }
 
+    /// Records the position and the leadership of an endpoint from the answers to a call.
     fn record_answers(
         &self,
         pool: &EndpointPool,
@@ -558,13 +581,14 @@
         if let Some(position) = answers.iter().rev().find_map(|answer| answer.position) {
             directory.observe(&pool.endpoint, |view| view.position = Some((position, now)));
         }
-        let Some(proof) = call.proof.and_then(|index| answers.get(usize::from(index))) else {
+        let Some(confirmation) = call.proof.and_then(|index| answers.get(usize::from(index)))
+        else {
             return;
         };
-        match (proof.error, proof.position) {
+        match (confirmation.error, confirmation.position) {
             (None, Some(position)) => {
-                let mark = ProvedMark { asked_at: sent_at, position };
-                if directory.note_leader(&pool.endpoint, mark) {
+                let watermark = ProvedMark { asked_at: sent_at, position };
+                if directory.note_leader(&pool.endpoint, watermark) {
                     self.status_changed.notify_waiters();
                     log_event!(
                         LogEvent::PrimaryChanged,
@@ -582,7 +606,7 @@
         }
     }
 
-    /// Keeps a connection for its transaction, for others, or rolls it back first.
+    /// Pins a connection to its transaction, or returns it to the pool, after a rollback if needed.
     fn recycle_connection(
         self: &Rc<Self>,
         pool: &Rc<EndpointPool>,
@@ -593,7 +617,8 @@
     ) {
         let state = answers.last().map_or(BlockState::Failed, |answer| answer.state);
         let pinned = PinnedConnection { pool: pool.clone(), team: call.team.clone(), connection };
-        // A refused statement may leave the transaction open, but its caller gives it up.
+        // A failed statement may leave the transaction open at the endpoint, but its session
+        // abandons it.
         let failed = answers.iter().any(|answer| answer.error.is_some());
         let kept = call.keeps && !failed && self.pools.is_live_origin(origin);
         match state {
@@ -605,6 +630,7 @@
         }
     }
 
+    /// Returns a connection to its pool.
     fn return_idle(&self, pinned: PinnedConnection) {
         let PinnedConnection { pool, team, connection } = pinned;
         let idle_since = self.now();
@@ -612,6 +638,7 @@
         pool.connection_freed.notify_one();
     }
 
+    /// Rolls back on a connection and returns it to its pool, or closes it if that fails.
     fn roll_back(self: &Rc<Self>, mut pinned: PinnedConnection) {
         let instance = self.clone();
         tokio::task::spawn_local(async move {
@@ -630,17 +657,17 @@
     }
 }
 
-/// Returns when each team last gave back a connection of a pool.
+/// Returns the time at which each team last returned a connection to a pool.
 fn last_use_by_team(pool: &EndpointPool) -> HashMap<String, Instant> {
-    // Connections stand in the order in which they were given back, so the last one wins.
+    // Connections are ordered by the time of their return, so the latest one overwrites the others.
     let idle = pool.idle.borrow();
     idle.iter().map(|idle| (idle.team.clone(), idle.idle_since)).collect()
 }
 
-/// Name under which members are asked about themselves; no caller has a part in it.
+/// Team name sent with probes, which belong to no team.
 const PROBE_TEAM: &str = "-";
 
-/// Returns the number of a team in queues.
+/// Returns the key of a team in request queues.
 fn team_hash(team: &str) -> u64 {
     rendezvous::weight(team, "")
 }
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends statements to the instance that holds the endpoint's connections.
+//! Routes statements to the instance that owns the endpoint's connections.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,22 +13,23 @@
     ExecuteCall, ExecuteOutcome, ExecuteReply, HoldReason, StatementAnswer, millis,
 };
 
-/// Holders tried for statements that none has sent yet.
+/// Connection owners tried for one call, as long as none has sent it to the endpoint.
 const MAX_OWNER_ATTEMPTS: usize = 3;
 
-/// Reply with the instance that gave it.
+/// Reply to a call, with the instance that sent it.
 #[derive(Debug)]
 pub struct OwnerReply {
-    /// Instance that holds the connection.
+    /// Name of the instance that owns the connection.
     pub owner: String,
-    /// Its reply.
+    /// Reply of that instance.
     pub reply: ExecuteReply,
 }
 
 impl<E: EngineTypes> GatewayInstance<E> {
-    /// Runs statements through the first holder that reaches the endpoint.
+    /// Runs a call through the first connection owner that reaches the endpoint.
     ///
-    /// They start before `latest_start` and are answered before `deadline`, or not at all.
+    /// The statements start before `latest_start` or not at all. Their answers are awaited until
+    /// `deadline`.
     pub async fn dispatch(
         self: &Rc<Self>,
         mut call: ExecuteCall,
@@ -66,7 +67,7 @@
         })
     }
 
-    /// Runs statements through a given holder.
+    /// Runs a call through the given connection owner.
     pub async fn dispatch_to(self: &Rc<Self>, owner: &str, call: ExecuteCall) -> ExecuteReply {
         let endpoint = call.endpoint.clone();
         if owner == self.name() {
@@ -84,7 +85,8 @@
         let Some((position, age_ms)) = reply.mark else {
             return reply;
         };
-        // Counted from before the question, the age is an upper bound however long the way took.
+        // Subtracting the age from the time of sending ignores the round trip, so the watermark is
+        // never taken for newer than it is.
         if let Some(asked_at) = sent_at.checked_sub(Duration::from_millis(age_ms.into())) {
             let mut directory = self.directory.borrow_mut();
             let service = directory.endpoint(&endpoint).map(|entry| entry.record.service.clone());
@@ -95,7 +97,7 @@
         reply
     }
 
-    /// Ends a transaction at the instance that holds its connection.
+    /// Rolls back a transaction at the instance that owns its connection.
     pub fn dispatch_release(self: &Rc<Self>, owner: &str, transaction_id: u32) {
         if owner == self.name() {
             self.release_locally(0, transaction_id);
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Remembers what a reply tells about an endpoint.
+    /// Records queue delay, reachability and position of an endpoint from a reply.
     fn record_reply(&self, endpoint: &str, reply: &ExecuteReply) {
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
@@ -127,19 +129,21 @@
         });
     }
 
-    /// Learns from the proof that a statement carried whether the endpoint leads.
+    /// Records from the answer to a statement that only a leader accepts whether the endpoint leads.
+    ///
+    /// `sent_at` is the time before the statement was sent.
     pub(crate) fn observe_leadership(
         &self,
         endpoint: &str,
-        proof: &StatementAnswer,
+        confirmation: &StatementAnswer,
         sent_at: Instant,
     ) {
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
-        match (proof.error, proof.position) {
+        match (confirmation.error, confirmation.position) {
             (None, Some(position)) => {
-                let mark = ProvedMark { asked_at: sent_at, position };
-                if directory.note_leader(endpoint, mark) {
+                let watermark = ProvedMark { asked_at: sent_at, position };
+                if directory.note_leader(endpoint, watermark) {
                     log_event!(
                         LogEvent::PrimaryChanged,
                         "endpoint={endpoint} term={} source=proof",
--- a/crates/engine/src/endpoint_connection.rs
+++ b/crates/engine/src/endpoint_connection.rs
@@ -1,4 +1,4 @@
-//! Connection to an endpoint: sends statements in one write and reads their answers in order.
+//! Connection to an endpoint: statements are pipelined and their answers read in order.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,16 +14,17 @@
 use crate::link::{AnswerLine, RefusalCode, WireCodec};
 use crate::message::StatementAnswer;
 
-/// Time in which a TCP connection to an endpoint must open.
+/// Bounds the opening of a TCP connection to an endpoint.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time in which a connection and a session on it must open; the opening waits for a slot.
+/// Bounds the opening of a connection and of the session on it, which waits for a slot of the
+/// endpoint.
 pub const OPEN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Failure of a connection to an endpoint.
 #[derive(Debug, Snafu)]
 pub enum EndpointError {
-    /// The connection did not open in time.
-    #[snafu(display("no connection in time"))]
+    /// The connection or its session did not open in time.
+    #[snafu(display("connection timed out"))]
     ConnectTimeout,
     /// The connection failed.
     #[snafu(display("connection failed: {source}"))]
@@ -31,31 +32,32 @@
         /// Cause reported by the operating system.
         source: std::io::Error,
     },
-    /// The endpoint ended the connection.
+    /// The endpoint closed the connection.
     #[snafu(display("connection closed by the endpoint"))]
     Closed,
     /// The endpoint refused the session.
     #[snafu(display("session refused: {code:?}"))]
     SessionRefused {
-        /// Stated reason.
+        /// Reason stated by the endpoint.
         code: RefusalCode,
     },
-    /// The answer does not fit the protocol.
-    #[snafu(display("answer cannot be understood"))]
+    /// The answer violates the protocol.
+    #[snafu(display("malformed answer"))]
     MalformedAnswer,
 }
 
-/// Open connection to an endpoint, on behalf of one team for good.
+/// Open connection to an endpoint. It serves one team for its whole life.
 #[derive(Debug)]
 pub struct EndpointConnection {
     stream: TcpStream,
     input: LineBuffer,
-    /// Session values and names that it has; zero for none.
+    /// Identifier of the session settings and prepared statements that the connection has; zero for
+    /// none.
     pub applied_setup: u64,
 }
 
 impl EndpointConnection {
-    /// Opens a connection and a session on it within `limit`.
+    /// Opens a connection and a session on it within `open_timeout`.
     pub async fn open<C: WireCodec>(
         address: SocketAddr,
         startup: &[u8],
@@ -82,7 +84,7 @@
         Ok(connection)
     }
 
-    /// Tells whether the other side has ended the connection or sent what nobody asked for.
+    /// Returns whether the endpoint closed the connection or sent unexpected data.
     pub fn is_broken(&self) -> bool {
         let mut byte = [0; 1];
         !matches!(
@@ -91,7 +93,7 @@
         )
     }
 
-    /// Sends bytes.
+    /// Sends encoded statements.
     pub async fn send(&mut self, bytes: &[u8]) -> Result<(), EndpointError> {
         self.stream.write_all(bytes).await.map_err(|source| EndpointError::Io { source })
     }
@@ -123,6 +125,7 @@
         }
     }
 
+    /// Reads the answer to the startup request.
     async fn read_startup<C: WireCodec>(
         &mut self,
     ) -> Result<(BlockState, Option<LogPosition>), EndpointError> {
--- a/crates/engine/src/instance.rs
+++ b/crates/engine/src/instance.rs
@@ -1,4 +1,4 @@
-//! State that the tasks of one instance share.
+//! State shared by the tasks of an instance.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,62 +20,62 @@
 use crate::record::InstanceRecord;
 use crate::tables::TableCopies;
 
-/// Choice of platform and protocol.
+/// Platform and protocol that an instance is built for.
 pub trait EngineTypes: 'static {
     /// Services of the platform.
     type Platform: PlatformLink;
-    /// Protocol of callers and endpoints.
+    /// Codec of the protocol that callers and endpoints speak.
     type Codec: WireCodec;
 }
 
 /// Settings of an instance.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Own registration.
+    /// Registration of this instance.
     pub record: InstanceRecord,
-    /// Address for callers.
+    /// Address on which callers are accepted.
     pub caller_address: SocketAddr,
-    /// The whole system starts for the first time.
+    /// Whether the whole system starts for the first time, so that no operation was admitted before.
     pub first_start: bool,
-    /// Time from the signal to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub grace_period: Duration,
-    /// Time after which a leaving endpoint gets no new work.
+    /// Time for which an endpoint still gets new statements after it announces that it is leaving.
     pub drain_timeout: Duration,
-    /// Time within which a new document must be in force.
+    /// Bound on the time from the publication of a document until it is in force here.
     pub document_bound: Duration,
-    /// Time within which a withdrawn key must stop working on every instance, also on those cut off;
-    /// none if only instances that reach the store are held to it.
+    /// Bound on the time until a revoked key stops working on every instance, partitioned ones
+    /// included. `None` if the bound holds only on instances that reach the store.
     pub revocation_bound: Option<Duration>,
-    /// Span in which the limits of teams hold.
+    /// Window over which team limits hold, with the tolerated overage.
     pub limit_window: LimitWindow,
 }
 
-/// Time after its start during which an instance of a first start may fill buckets.
+/// Time after its start for which an instance in a first start may create full token buckets.
 const FIRST_START_PERIOD: Duration = Duration::from_secs(20);
 
-/// One instance.
+/// State of one instance.
 pub struct GatewayInstance<E: EngineTypes> {
-    /// Settings.
+    /// Settings at the start; see [`Self::update_limits`].
     pub settings: EngineSettings,
-    /// Time.
+    /// Source of the current time.
     pub clock: SharedClock,
-    /// Platform.
+    /// Client of the platform's services.
     pub platform: E::Platform,
-    /// Document, endpoints, leaders.
+    /// Document in force, endpoints and leaders.
     pub directory: RefCell<FleetDirectory>,
-    /// Copies of the platform's tables.
+    /// Cached tables of the platform.
     pub tables: RefCell<TableCopies>,
-    /// Proofs that the document in force is the newest.
+    /// Tracks when the document in force was last validated as the newest.
     pub validation: RefCell<ConfirmationMachine>,
-    /// Other instances.
+    /// Links to peer instances.
     pub peers: PeerTable,
-    /// Connections to endpoints.
+    /// Endpoint connections that this instance owns.
     pub pools: ConnectionPools,
-    /// Team limits that this instance counts.
+    /// Token buckets of the teams whose quota owner this instance is.
     pub quotas: RefCell<TeamCounters>,
-    /// Wakes whoever tells other instances the status.
+    /// Notified when the status changes in a way that peers must learn at once.
     pub status_changed: Notify,
-    /// Open sessions of callers.
+    /// Number of open caller sessions.
     pub caller_count: Cell<usize>,
     grace_period: Cell<Duration>,
     started_at: Instant,
@@ -89,7 +89,7 @@
 }
 
 impl<E: EngineTypes> GatewayInstance<E> {
-    /// Creates an instance that knows nothing yet.
+    /// Creates an instance without document, endpoints and peers.
     pub fn new(settings: EngineSettings, clock: SharedClock, platform: E::Platform) -> Rc<Self> {
         let started_at = clock.now();
         let directory = FleetDirectory::new(settings.drain_timeout);
@@ -117,13 +117,13 @@
         })
     }
 
-    /// Takes bounds that changed while the instance runs.
-    pub fn update_limits(&self, grace: Duration, drain_limit: Duration) {
-        self.grace_period.set(grace);
-        self.directory.borrow_mut().set_drain_limit(drain_limit);
+    /// Applies limits that changed in the settings while the instance runs.
+    pub fn update_limits(&self, grace_period: Duration, drain_timeout: Duration) {
+        self.grace_period.set(grace_period);
+        self.directory.borrow_mut().set_drain_limit(drain_timeout);
     }
 
-    /// Returns the time from the signal to stop until the process is killed.
+    /// Returns the time from the stop signal until the process is killed.
     pub fn grace_period(&self) -> Duration {
         self.grace_period.get()
     }
@@ -138,37 +138,40 @@
         self.clock.now()
     }
 
-    /// Tells whether the instance can serve callers and is not about to stop.
+    /// Returns whether the instance can serve callers and is not leaving.
     pub fn is_ready(&self) -> bool {
         !self.is_leaving() && self.directory.borrow().is_complete() && self.is_document_validated()
     }
 
-    /// Tells whether keys may be accepted: no withdrawal can have been missed for too long.
+    /// Returns whether keys may be accepted, because the document was validated recently enough to
+    /// rule out a missed revocation.
     pub fn is_document_validated(&self) -> bool {
         !self.max_validation_age().is_some_and(|limit| self.validation_is_older(limit))
     }
 
-    /// Returns the age of a proof up to which keys may be accepted; none if keys need no proof.
+    /// Returns the validation age up to which keys may be accepted, or `None` if it is unbounded.
     pub fn max_validation_age(&self) -> Option<Duration> {
         self.settings.revocation_bound.map(withdrawal_limit)
     }
 
-    /// Tells whether withdrawn keys must stop everywhere and the document was not proved for longer
-    /// than `age`.
+    /// Returns whether the document was not validated within `age`.
+    ///
+    /// Always false if revoked keys need not stop working on partitioned instances.
     pub fn validation_is_older(&self, age: Duration) -> bool {
-        let proof_age = self.validation.borrow().proof_age(self.now());
-        self.settings.revocation_bound.is_some() && proof_age.is_none_or(|proof| proof > age)
+        let validation_age = self.validation.borrow().proof_age(self.now());
+        self.settings.revocation_bound.is_some()
+            && validation_age.is_none_or(|current| current > age)
     }
 
-    /// Records that the store, asked at `asked_at`, had no document newer than the copy here.
+    /// Records that the store, queried at `asked_at`, had no document newer than the cached one.
     pub fn record_document_validation(&self, asked_at: Instant) {
         let [version, _] = self.tables.borrow().versions();
-        let mut confirmation = self.validation.borrow_mut();
-        confirmation.adopt(version);
-        confirmation.record_store(asked_at, version);
+        let mut tracker = self.validation.borrow_mut();
+        tracker.adopt(version);
+        tracker.record_store(asked_at, version);
     }
 
-    /// Logs when the document stops or starts to be confirmed.
+    /// Logs a change of [`Self::is_document_validated`] since the last call.
     pub fn log_validation_change(&self) {
         let validated = self.is_document_validated();
         if self.was_validated.replace(validated) == validated {
@@ -183,24 +186,24 @@
         }
     }
 
-    /// Tells whether the instance is about to stop.
+    /// Returns whether the instance has announced that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving_since.get().is_some()
     }
 
-    /// Returns the time at which the instance said that it is about to stop.
+    /// Returns the time at which the instance announced that it is leaving.
     pub fn leaving_since(&self) -> Option<Instant> {
         self.leaving_since.get()
     }
 
-    /// Announces that the instance is about to stop.
+    /// Announces to caller sessions and peers that the instance is leaving.
     pub fn start_leaving(&self) {
         self.leaving_since.set(Some(self.now()));
         self.leave_signal.notify_waiters();
         self.status_changed.notify_waiters();
     }
 
-    /// Waits until the instance is about to stop.
+    /// Waits until the instance announces that it is leaving.
     pub async fn wait_for_leaving(&self) {
         let signal = self.leave_signal.notified();
         if !self.is_leaving() {
@@ -208,32 +211,32 @@
         }
     }
 
-    /// Tells whether team buckets may start full: nothing was admitted before.
+    /// Returns whether new token buckets may start full, since nothing was admitted before.
     pub fn is_first_start(&self) -> bool {
         let age = self.now().saturating_duration_since(self.started_at);
         self.settings.first_start && age < FIRST_START_PERIOD
     }
 
-    /// Returns a number for a transaction, unique on this instance.
+    /// Returns a transaction identifier, unique on this instance and never zero.
     pub fn new_transaction_id(&self) -> u32 {
         let transaction_id = self.next_transaction_id.get();
         self.next_transaction_id.set(transaction_id.wrapping_add(1).max(1));
         transaction_id
     }
 
-    /// Returns a number for a session, unique over all instances.
+    /// Returns a session identifier, unique over all instances.
     pub fn new_session_id(&self) -> u64 {
         let session_id = self.next_session_id.get();
         self.next_session_id.set(session_id.wrapping_add(1));
         (self.settings.record.incarnation & 0xffff_ffff) << 32 | u64::from(session_id)
     }
 
-    /// Records whether the store answers.
+    /// Records whether the store answered the last call. Logs changes.
     pub fn record_store_status(&self, reachable: bool, detail: &str) {
         if self.store_reachable.replace(reachable) == reachable {
             return;
         }
-        // Others rely on whoever reads the store for them.
+        // Peers in the availability zone may rely on this instance to read the store.
         self.status_changed.notify_waiters();
         if reachable {
             log_event!(LogEvent::PlatformFound, "service=store");
@@ -242,17 +245,17 @@
         }
     }
 
-    /// Tells whether the store answered last.
+    /// Returns whether the store answered the last call.
     pub fn is_store_reachable(&self) -> bool {
         self.store_reachable.get()
     }
 
-    /// Returns the fencing token if this instance is on duty.
+    /// Returns the fencing token if this instance holds the promotion lease.
     pub fn promotion_token(&self) -> Option<u64> {
         self.promotion_token.get()
     }
 
-    /// Records whether this instance is on duty.
+    /// Sets the fencing token of the promotion lease, or `None` when the lease is lost.
     pub fn set_promotion_token(&self, token: Option<u64>) {
         if self.promotion_token.replace(token) != token {
             self.status_changed.notify_waiters();
@@ -260,7 +263,7 @@
         }
     }
 
-    /// Returns what the instance tells others about itself.
+    /// Returns the status that is reported to peers.
     pub fn status(&self) -> InstanceStatus {
         let directory = self.directory.borrow();
         InstanceStatus {
@@ -273,7 +276,7 @@
         }
     }
 
-    /// Takes a change of a watched row.
+    /// Applies a changed row of a watched table to the directory.
     pub fn apply_row_change(&self, change: RowChange) {
         let now = self.now();
         match change {
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks of an instance and stops it.
+//! Startup and graceful shutdown of an instance.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,27 +13,27 @@
 use crate::instance::{EngineTypes, GatewayInstance};
 use crate::link::{PlatformLink, WatchedTable};
 
-/// Part of the grace period after which the instance ends whatever is still open.
+/// Fraction of the grace period after which the instance stops waiting for open sessions.
 const DRAIN_FRACTION: f64 = 0.85;
-/// Time between looks at what is still open.
+/// Interval at which a draining instance checks for open sessions and transactions.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between closings of connections that are of no use.
+/// Interval of eviction, validation checks and metric updates.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for which other instances learn that this one leaves before it may end.
+/// Minimum time from the announcement of leaving to the exit, in which peers learn of it.
 const LEAVE_NOTICE_PERIOD: Duration = Duration::from_millis(2_600);
 
-/// Error of starting an instance.
+/// Failure to listen on an address.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot listen on {address}: {source}"))]
 pub struct ListenError {
-    /// Address.
+    /// Address that could not be bound.
     address: std::net::SocketAddr,
     /// Cause reported by the operating system.
     source: std::io::Error,
 }
 
 impl<E: EngineTypes> GatewayInstance<E> {
-    /// Starts all tasks of the instance on the current local set.
+    /// Binds the listeners and starts the tasks of the instance on the current local set.
     pub async fn start(self: &Rc<Self>) -> Result<(), ListenError> {
         let address = self.settings.record.address;
         let peers = TcpListener::bind(address).await.context(ListenSnafu { address })?;
@@ -61,7 +61,10 @@
         Ok(())
     }
 
-    /// Takes nothing new, lets open work end and returns when the process may end.
+    /// Announces that the instance is leaving, unregisters it and waits for open sessions and pinned
+    /// connections.
+    ///
+    /// Returns when the process may exit, at the latest after [`DRAIN_FRACTION`] of the grace period.
     pub async fn stop(self: &Rc<Self>) {
         log_event!(LogEvent::DrainStarted, "callers={}", self.caller_count.get());
         self.start_leaving();
--- a/crates/engine/src/line_buffer.rs
+++ b/crates/engine/src/line_buffer.rs
@@ -1,23 +1,23 @@
-//! Buffer that splits a stream into lines.
+//! Buffer that splits a byte stream into lines.
 
 use bytes::{Buf, BytesMut};
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// End of a line.
+/// Line terminator.
 const LINE_END: &[u8; 2] = b"\r\n";
-/// Bytes read at once.
+/// Free space reserved before each read, in bytes.
 const READ_SIZE: usize = 2_048;
 
-/// Bytes received and not yet consumed.
+/// Buffer of received bytes that were not consumed yet.
 #[derive(Debug, Default)]
 pub struct LineBuffer {
     input: BytesMut,
-    /// Bytes known to hold no line end.
+    /// Length of the prefix in which no line terminator starts.
     scanned: usize,
 }
 
 impl LineBuffer {
-    /// Returns the length of the first line if it is whole.
+    /// Returns the length of the first line without its terminator, or `None` if it is incomplete.
     pub fn line_length(&mut self) -> Option<usize> {
         let unscanned = &self.input[self.scanned..];
         let found = unscanned.windows(LINE_END.len()).position(|pair| pair == LINE_END);
@@ -35,28 +35,28 @@
         &self.input[..length]
     }
 
-    /// Appends the first line and its end to `out`.
+    /// Appends the first line and its terminator to `out`.
     pub fn copy_line(&self, length: usize, out: &mut Vec<u8>) {
         out.extend_from_slice(&self.input[..length + LINE_END.len()]);
     }
 
-    /// Drops the first line.
+    /// Removes the first line and its terminator.
     pub fn consume_line(&mut self, length: usize) {
         self.input.advance(length + LINE_END.len());
         self.scanned = 0;
     }
 
-    /// Returns the bytes held.
+    /// Returns the number of buffered bytes.
     pub fn len(&self) -> usize {
         self.input.len()
     }
 
-    /// Tells whether no bytes are held.
+    /// Returns whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.input.is_empty()
     }
 
-    /// Reads more bytes; zero at the end of the stream.
+    /// Reads from `stream` into the buffer. Returns 0 at the end of the stream.
     pub async fn fill(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> std::io::Result<usize> {
         self.input.reserve(READ_SIZE);
         stream.read_buf(&mut self.input).await
--- a/crates/engine/src/peer_link.rs
+++ b/crates/engine/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! Connection to another instance, and the calls that wait on it.
+//! Outgoing connection to a peer instance, and the calls in flight on it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,12 +21,12 @@
 use crate::record::InstanceRecord;
 use crate::tables::StoredRow;
 
-/// Time without an answer to a ping after which another instance counts as lost.
+/// Bounds the wait for the answer to a ping. A peer that exceeds it is disconnected.
 pub(crate) const PING_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes waiting for a connection above which it counts as stuck.
+/// Queued bytes above which a connection counts as stuck and is closed.
 const MAX_OUTPUT_BYTES: usize = 8 << 20;
 
-/// Bytes that a connection's writer has still to send.
+/// Encoded messages that wait to be written to a connection.
 #[derive(Debug, Default)]
 pub(crate) struct OutputQueue {
     pub(crate) bytes: RefCell<Vec<u8>>,
@@ -35,6 +35,7 @@
 }
 
 impl OutputQueue {
+    /// Appends a message. Closes the connection if too many bytes are queued.
     pub(crate) fn push<M: serde::Serialize>(&self, message: &M) {
         let mut bytes = self.bytes.borrow_mut();
         if self.closed.get() {
@@ -49,11 +50,13 @@
         self.data_ready.notify_one();
     }
 
+    /// Closes the connection without writing what is queued.
     pub(crate) fn close(&self) {
         self.closed.set(true);
         self.data_ready.notify_one();
     }
 
+    /// Writes queued messages to `stream` until the queue is closed or a write fails.
     pub(crate) async fn drain(&self, mut stream: OwnedWriteHalf) {
         loop {
             let bytes = std::mem::take(&mut *self.bytes.borrow_mut());
@@ -70,7 +73,7 @@
     }
 }
 
-/// Status as told on one connection.
+/// Status as last published on one connection.
 #[derive(Debug, Default)]
 pub(crate) struct StatusPublisher {
     pub(crate) published: RefCell<InstanceStatus>,
@@ -78,7 +81,7 @@
 }
 
 impl StatusPublisher {
-    /// Takes the present status; tells whether it has changed.
+    /// Sets the current status and returns whether it differs from the last one.
     pub(crate) fn refresh(&self, status: InstanceStatus) -> bool {
         let changed = self.version.get() == 0 || *self.published.borrow() != status;
         if changed {
@@ -88,24 +91,26 @@
         changed
     }
 
-    /// Answers a ping, or tells the status without one; with the status if the other side lacks it.
+    /// Sends the answer to ping `number`, or an unsolicited status if `number` is zero.
+    ///
+    /// The status is left out if the peer already has `known_version`.
     pub(crate) fn publish(
         &self,
         output: &OutputQueue,
         number: u32,
-        known: u32,
-        proof: Option<DocumentProof>,
+        known_version: u32,
+        validation: Option<DocumentProof>,
     ) {
         let version = self.version.get();
-        let status = (known != version).then(|| Box::new(self.published.borrow().clone()));
-        output.push(&PeerReply::Pong { number, proof, version, status });
+        let status = (known_version != version).then(|| Box::new(self.published.borrow().clone()));
+        output.push(&PeerReply::Pong { number, proof: validation, version, status });
     }
 }
 
-/// Who waits for the answers to calls of one kind, by the number of the call.
+/// Senders that pass answers to the waiting calls of one kind, by call number.
 type ReplySenders<T> = HashMap<u32, oneshot::Sender<T>>;
 
-/// Calls that wait for an answer.
+/// Calls in flight.
 #[derive(Debug, Default)]
 pub(crate) struct PendingCalls {
     pub(crate) execute: ReplySenders<ExecuteReply>,
@@ -114,24 +119,26 @@
     pub(crate) table: ReplySenders<(Vec<StoredRow>, u64)>,
 }
 
-/// Connection that this instance opened to another one.
+/// Link to a peer instance, kept open by this instance.
 #[derive(Debug)]
 pub struct PeerLink {
-    /// The other instance.
+    /// Registration of the peer.
     pub record: InstanceRecord,
+    /// Output of the open connection; set once the peer has responded on it.
     pub(crate) output: RefCell<Option<Rc<OutputQueue>>>,
     pub(crate) pending: RefCell<PendingCalls>,
     pub(crate) next_call: Cell<u32>,
-    /// Open connection, whether the other instance has answered on it or not.
+    /// Output of the open connection, whether the peer has responded on it or not.
     pub(crate) open_output: RefCell<Option<Rc<OutputQueue>>>,
     pub(crate) last_response_at: Cell<Option<Instant>>,
-    /// Time of the first ping that was not answered.
+    /// Time of the oldest unanswered ping.
     pub(crate) unanswered_since: Cell<Option<Instant>>,
-    /// Number and time of the ping whose answer may carry a proof.
+    /// Number and time of the ping whose answer may validate the document.
     pub(crate) validation_ping: Cell<Option<(u32, Instant)>>,
     pub(crate) unreachable_since: Cell<Option<Instant>>,
     pub(crate) status_version: Cell<u32>,
     pub(crate) status: RefCell<InstanceStatus>,
+    /// A newer registration of the peer has replaced this link.
     pub(crate) superseded: Cell<bool>,
 }
 
@@ -153,28 +160,30 @@
         }
     }
 
-    /// Tells whether the other instance answers.
+    /// Returns whether the peer responds.
     pub fn is_live(&self) -> bool {
         self.unreachable_since.get().is_none()
     }
 
-    /// Returns what the other instance told last.
+    /// Returns the last reported status of the peer.
     pub fn status(&self) -> InstanceStatus {
         self.status.borrow().clone()
     }
 
+    /// Returns whether statements or admission requests are in flight.
     pub(crate) fn has_pending_calls(&self) -> bool {
         let pending = self.pending.borrow();
         !pending.execute.is_empty() || !pending.admission.is_empty()
     }
 
+    /// Returns a new number for a call or ping.
     pub(crate) fn next_call_number(&self) -> u32 {
         let call = self.next_call.get();
         self.next_call.set(call.wrapping_add(1));
         call
     }
 
-    /// Runs statements at the other instance.
+    /// Runs statements through the peer, which owns the endpoint's connections.
     pub async fn execute(&self, body: ExecuteCall) -> ExecuteReply {
         if self.output.borrow().is_none() {
             return no_owner_reply();
@@ -186,12 +195,14 @@
         reply.unwrap_or(lost)
     }
 
-    /// Ends a transaction whose connection the other instance holds.
+    /// Rolls back a transaction whose connection the peer owns.
     pub fn release(&self, transaction_id: u32) {
         self.send(&PeerRequest::Release { channel: transaction_id });
     }
 
-    /// Asks whether an operation of a team may start; none without an answer in time.
+    /// Asks the peer, as quota owner of a team, whether an operation may start.
+    ///
+    /// Returns `None` without an answer within `answer_timeout`.
     pub async fn request_admission(
         &self,
         team: &str,
@@ -204,13 +215,17 @@
         self.send_call(|pending| &mut pending.admission, answer_timeout, request).await
     }
 
-    /// Asks whether the other instance reaches an endpoint; none without an answer in time.
+    /// Asks whether the peer reaches an endpoint.
+    ///
+    /// Returns `None` without an answer within `answer_timeout`.
     pub async fn probe(&self, endpoint: &str, answer_timeout: Duration) -> Option<bool> {
         let request = |call| PeerRequest::Probe { call, endpoint: endpoint.to_owned() };
         self.send_call(|pending| &mut pending.probe, answer_timeout, request).await
     }
 
-    /// Fetches the other instance's copy of a table; none without an answer in time.
+    /// Fetches the peer's cached copy of a table and its version.
+    ///
+    /// Returns `None` without an answer within `answer_timeout`.
     pub async fn fetch_table(
         &self,
         table: WatchedTable,
@@ -220,7 +235,7 @@
         self.send_call(|pending| &mut pending.table, answer_timeout, request).await
     }
 
-    /// Sends a request under a new number and waits for its answer; none without one in time.
+    /// Sends a request with a new call number and waits for the answer up to `answer_timeout`.
     async fn send_call<T>(
         &self,
         senders: fn(&mut PendingCalls) -> &mut ReplySenders<T>,
@@ -236,13 +251,14 @@
         answer.ok()?.ok()
     }
 
-    /// Sends a request that brings no answer, or drops it if the other instance is not connected.
+    /// Sends a request, or drops it if the peer is not connected.
     pub(crate) fn send(&self, request: &PeerRequest) {
         if let Some(output) = &*self.output.borrow() {
             output.push(request);
         }
     }
 
+    /// Handles a message of the peer: stores its status or completes a call.
     pub(crate) fn handle_reply(&self, reply: PeerReply) {
         let mut pending = self.pending.borrow_mut();
         match reply {
@@ -255,8 +271,8 @@
             PeerReply::Execute { call, body } => {
                 deliver(&mut pending.execute, call, *body);
             }
-            PeerReply::Count { call, answer: counted } => {
-                deliver(&mut pending.admission, call, counted);
+            PeerReply::Count { call, answer: decision } => {
+                deliver(&mut pending.admission, call, decision);
             }
             PeerReply::Probe { call, reached } => {
                 deliver(&mut pending.probe, call, reached);
@@ -268,10 +284,10 @@
     }
 }
 
-/// Hands an answer to whoever waits for it.
+/// Completes a call with its answer.
 fn deliver<T>(senders: &mut ReplySenders<T>, call: u32, content: T) {
     if let Some(sender) = senders.remove(&call) {
-        // A caller that no longer waits has dropped its receiver; the answer is of no use then.
+        // The receiver is dropped if the call timed out.
         let _ = sender.send(content);
     }
 }
@@ -281,7 +297,7 @@
     ExecuteReply { outcome, queue_ms: 0, mark: None }
 }
 
-/// Ends a connection; whoever waits on it learns that the answer is lost.
+/// Closes the output of a link and fails its calls in flight.
 pub(crate) fn close_link(link: &PeerLink) {
     if let Some(output) = link.output.borrow_mut().take() {
         output.close();
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -1,4 +1,4 @@
-//! Queue and connections of one endpoint.
+//! Connection pool and request queue of one endpoint.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,12 +13,13 @@
 
 use crate::endpoint_connection::{EndpointConnection, EndpointError};
 
-/// Time between attempts to reach an endpoint that failed.
+/// Pause between attempts to reach an unreachable endpoint.
 pub(crate) const RECONNECT_BACKOFF: Duration = Duration::from_millis(150);
 
+/// Grants a queued request its permit.
 pub(crate) type PermitSender = oneshot::Sender<()>;
 
-/// Connection that waits for work.
+/// Idle connection of a team.
 #[derive(Debug)]
 pub(crate) struct IdleConnection {
     pub(crate) team: String,
@@ -26,7 +27,7 @@
     pub(crate) idle_since: Instant,
 }
 
-/// Connection of an open transaction.
+/// Connection pinned to an open transaction.
 #[derive(Debug)]
 pub(crate) struct PinnedConnection {
     pub(crate) pool: Rc<EndpointPool>,
@@ -34,7 +35,7 @@
     pub(crate) connection: EndpointConnection,
 }
 
-/// Queue and connections of one endpoint.
+/// Request queue, idle connections and health of one endpoint.
 #[derive(Debug)]
 pub(crate) struct EndpointPool {
     pub(crate) endpoint: String,
@@ -43,17 +44,20 @@
     pub(crate) started_ms: u64,
     pub(crate) queue: RefCell<UrgencyQueue<u64, PermitSender>>,
     pub(crate) idle: RefCell<Vec<IdleConnection>>,
+    /// Connections that are open or being opened.
     pub(crate) open_count: Cell<usize>,
     pub(crate) max_open: Cell<usize>,
+    /// Notified when a connection is returned or closed.
     pub(crate) connection_freed: Notify,
     pub(crate) failing_since: Cell<Option<Instant>>,
     pub(crate) last_attempt_at: Cell<Option<Instant>>,
     pub(crate) last_response_at: Cell<Option<Instant>>,
     pub(crate) probe_in_flight: Cell<bool>,
+    /// Time at which the endpoint last refused a connection for capacity.
     pub(crate) connections_refused_at: Cell<Option<Instant>>,
 }
 
-/// Permit to run at an endpoint; given back when dropped.
+/// Permit to run statements on an endpoint. Dropping it releases it.
 pub(crate) struct RunPermit {
     pub(crate) pool: Rc<EndpointPool>,
     pub(crate) clock: SharedClock,
@@ -67,13 +71,13 @@
         let now = self.clock.now();
         let held = now.saturating_duration_since(self.acquired_at);
         self.pool.queue.borrow_mut().release(self.priority, self.team, held);
-        self.pool.wake_next(now);
+        self.pool.grant_permits(now);
     }
 }
 
 impl EndpointPool {
-    /// Starts waiting requests while permits are free.
-    pub(crate) fn wake_next(&self, now: Instant) {
+    /// Grants free permits to queued requests.
+    pub(crate) fn grant_permits(&self, now: Instant) {
         let mut expired = Vec::new();
         loop {
             let next = self.queue.borrow_mut().pop(now, &mut expired);
@@ -86,12 +90,14 @@
         }
     }
 
+    /// Closes a connection and lets another one be opened.
     pub(crate) fn close_connection(&self, connection: EndpointConnection) {
         drop(connection);
         self.open_count.set(self.open_count.get().saturating_sub(1));
         self.connection_freed.notify_one();
     }
 
+    /// Records a response of the endpoint.
     pub(crate) fn record_response(&self, now: Instant) {
         self.last_response_at.set(Some(now));
         if self.failing_since.replace(None).is_some() {
@@ -99,6 +105,7 @@
         }
     }
 
+    /// Records that the endpoint could not be reached.
     pub(crate) fn record_failure(&self, now: Instant, cause: &EndpointError) {
         if self.failing_since.get().is_none() {
             self.failing_since.set(Some(now));
@@ -106,20 +113,22 @@
         }
     }
 
-    /// Tells whether the endpoint failed so recently that another attempt is not worth while.
+    /// Returns whether the endpoint is unreachable and was tried less than [`RECONNECT_BACKOFF`] ago.
     pub(crate) fn is_in_backoff(&self, now: Instant) -> bool {
         let recent = |at: Instant| now.saturating_duration_since(at) < RECONNECT_BACKOFF;
         self.failing_since.get().is_some() && self.last_attempt_at.get().is_some_and(recent)
     }
 }
 
-/// Why no connection could be had.
+/// Reason why no connection was acquired.
 pub(crate) enum AcquireError {
+    /// The endpoint cannot be reached.
     Unreachable,
+    /// No connection became available in time.
     Full,
 }
 
-/// Takes the connection of a team that was used last.
+/// Takes the most recently used idle connection of a team. Drops broken ones.
 pub(crate) fn acquire_idle(pool: &EndpointPool, team: &str) -> Option<IdleConnection> {
     let mut idle = pool.idle.borrow_mut();
     loop {
@@ -132,7 +141,7 @@
     }
 }
 
-/// Takes the connection that has been idle for longest.
+/// Takes the connection that has been idle for the longest time.
 pub(crate) fn remove_oldest_idle(pool: &EndpointPool) -> Option<IdleConnection> {
     let mut idle = pool.idle.borrow_mut();
     if idle.is_empty() { None } else { Some(idle.remove(0)) }
