--- a/crates/engine/src/connection_owner.rs
+++ b/crates/engine/src/connection_owner.rs
@@ -1,6 +1,6 @@
 //! Endpoint connections that this instance owns on behalf of all instances.
 //!
-//! An endpoint has one connection owner as long as all instances agree on the set of live instances,
+//! An endpoint has one connection owner as long as all instances agree on which instances are live,
 //! so there is one queue and one connection count per endpoint. While they disagree, the endpoint
 //! itself refuses connections over its limit, and the refused owner backs off.
 
@@ -44,13 +44,12 @@
 const STALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Bounds a probe, including the opening of its connection.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(350);
-/// Bounds a rollback and the health check of an idle connection.
+/// Bounds a rollback and the liveness check of an idle connection.
 const CLEANUP_TIMEOUT: Duration = Duration::from_millis(400);
-/// Idle time after which a connection is checked before it carries a statement that cannot be sent
-/// again.
+/// Idle time after which a connection is checked before it carries a call that is not retryable.
 const MIN_IDLE_BEFORE_CHECK: Duration = Duration::from_millis(1_500);
 /// Setup identifier of a connection whose session settings are not known.
-const UNKNOWN_SETUP: u64 = u64::MAX;
+const UNKNOWN_SETUP_ID: u64 = u64::MAX;
 
 /// Identifies the source of calls: a connection from a peer instance, or zero for this instance.
 pub type CallOrigin = u64;
@@ -75,17 +74,17 @@
     }
 
     /// Returns the sorted names of the endpoints that cannot be reached.
-    pub fn failing_endpoints(&self) -> Vec<String> {
+    pub fn unreachable_endpoints(&self) -> Vec<String> {
         let pools = self.by_endpoint.borrow();
-        let failing = pools.values().filter(|pool| pool.failing_since.get().is_some());
-        let mut names: Vec<String> = failing.map(|pool| pool.endpoint.clone()).collect();
+        let unreachable = pools.values().filter(|pool| pool.unreachable_since.get().is_some());
+        let mut names: Vec<String> = unreachable.map(|pool| pool.endpoint.clone()).collect();
         names.sort();
         names
     }
 
     /// Returns the time since which an endpoint cannot be reached.
-    pub fn failing_since(&self, endpoint: &str) -> Option<Instant> {
-        self.by_endpoint.borrow().get(endpoint).and_then(|pool| pool.failing_since.get())
+    pub fn unreachable_since(&self, endpoint: &str) -> Option<Instant> {
+        self.by_endpoint.borrow().get(endpoint).and_then(|pool| pool.unreachable_since.get())
     }
 
     /// Returns the number of running and queued requests in all pools.
@@ -97,7 +96,7 @@
         self.by_endpoint.borrow().values().map(outstanding).sum()
     }
 
-    /// Returns whether any connection is pinned to an open transaction, of this or another instance.
+    /// Returns whether any connection is pinned to an open transaction of any instance.
     pub fn has_pinned_connections(&self) -> bool {
         !self.pinned.borrow().is_empty()
     }
@@ -150,7 +149,7 @@
 
     /// Requests the status of an endpoint on a new connection.
     ///
-    /// Returns `None` if the endpoint does not answer within [`PROBE_TIMEOUT`].
+    /// Returns `None` if the endpoint does not answer within `PROBE_TIMEOUT`.
     pub async fn probe_member(&self, endpoint: &str) -> Option<MemberReport> {
         let (service, address) = {
             let directory = self.directory.borrow();
@@ -180,7 +179,7 @@
         let pools: Vec<Rc<EndpointPool>> =
             self.pools.by_endpoint.borrow().values().cloned().collect();
         for pool in pools {
-            if pool.failing_since.get().is_some() {
+            if pool.unreachable_since.get().is_some() {
                 // Another instance owns its connections meanwhile, so no request here would show
                 // that the endpoint has recovered.
                 self.spawn_probe(&pool);
@@ -258,7 +257,7 @@
             open_count: Cell::new(0),
             max_open: Cell::new(1),
             connection_freed: Notify::new(),
-            failing_since: Cell::new(None),
+            unreachable_since: Cell::new(None),
             last_attempt_at: Cell::new(None),
             last_response_at: Cell::new(None),
             probe_in_flight: Cell::new(false),
@@ -446,14 +445,14 @@
         }
     }
 
-    /// Checks an idle connection with a round trip. Returns `None` if it fails or times out.
+    /// Checks the liveness of an idle connection. Returns `None` if it fails or times out.
     async fn check_connection(
         &self,
         mut connection: EndpointConnection,
     ) -> Option<EndpointConnection> {
         let mut bytes = Vec::new();
         E::Codec::encode_control(&mut bytes, ControlStatement::Reset);
-        connection.applied_setup = 0;
+        connection.applied_setup_id = 0;
         let check = async {
             connection.send(&bytes).await.ok()?;
             connection.read_answer::<E::Codec>().await.ok()
@@ -471,7 +470,7 @@
         connection: &mut EndpointConnection,
         call: &ExecuteCall,
     ) -> Option<Vec<StatementAnswer>> {
-        let needs_setup = call.pinned || connection.applied_setup != call.setup;
+        let needs_setup = call.pinned || connection.applied_setup_id != call.setup;
         let setup_answers = if needs_setup { call.setup_count } else { 0 };
         let setup_bytes = if setup_answers > 0 { call.setup_bytes.as_slice() } else { &[] };
         let opens_transaction = !call.opening.is_empty();
@@ -482,12 +481,12 @@
             connection.send(&[setup_bytes, first_bytes].concat()).await.ok()?;
         }
         if !call.pinned {
-            connection.applied_setup = call.setup;
+            connection.applied_setup_id = call.setup;
         }
         for _ in 0..setup_answers {
             let answer = self.read_answer_or_probe(pool, connection, call).await?;
             if answer.error.is_some() {
-                connection.applied_setup = UNKNOWN_SETUP;
+                connection.applied_setup_id = UNKNOWN_SETUP_ID;
             }
         }
         if opens_transaction {
@@ -511,8 +510,7 @@
 
     /// Reads an answer, and probes the endpoint on a new connection while it does not respond.
     ///
-    /// Returns `None` if the connection is lost, or if the probe fails and the statements can be sent
-    /// again.
+    /// Returns `None` if the connection is lost, or if the probe fails and the call is retryable.
     async fn read_answer_or_probe(
         self: &Rc<Self>,
         pool: &Rc<EndpointPool>,
@@ -529,7 +527,7 @@
                     return Some(answer);
                 }
                 () = sleep(STALL_TIMEOUT) => {
-                    if call.repeatable && pool.failing_since.get().is_some() {
+                    if call.repeatable && pool.unreachable_since.get().is_some() {
                         return None;
                     }
                     self.probe_if_silent(pool);
@@ -581,11 +579,11 @@
         if let Some(position) = answers.iter().rev().find_map(|answer| answer.position) {
             directory.observe(&pool.endpoint, |view| view.position = Some((position, now)));
         }
-        let Some(confirmation) = call.proof.and_then(|index| answers.get(usize::from(index)))
+        let Some(confirming_answer) = call.proof.and_then(|index| answers.get(usize::from(index)))
         else {
             return;
         };
-        match (confirmation.error, confirmation.position) {
+        match (confirming_answer.error, confirming_answer.position) {
             (None, Some(position)) => {
                 let watermark = ProvedMark { asked_at: sent_at, position };
                 if directory.note_leader(&pool.endpoint, watermark) {
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -129,18 +129,18 @@
         });
     }
 
-    /// Records from the answer to a statement that only a leader accepts whether the endpoint leads.
+    /// Records whether the endpoint leads, from its answer to a statement that only leaders accept.
     ///
     /// `sent_at` is the time before the statement was sent.
     pub(crate) fn observe_leadership(
         &self,
         endpoint: &str,
-        confirmation: &StatementAnswer,
+        confirming_answer: &StatementAnswer,
         sent_at: Instant,
     ) {
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
-        match (confirmation.error, confirmation.position) {
+        match (confirming_answer.error, confirming_answer.position) {
             (None, Some(position)) => {
                 let watermark = ProvedMark { asked_at: sent_at, position };
                 if directory.note_leader(endpoint, watermark) {
--- a/crates/engine/src/endpoint_connection.rs
+++ b/crates/engine/src/endpoint_connection.rs
@@ -53,7 +53,7 @@
     input: LineBuffer,
     /// Identifier of the session settings and prepared statements that the connection has; zero for
     /// none.
-    pub applied_setup: u64,
+    pub applied_setup_id: u64,
 }
 
 impl EndpointConnection {
@@ -78,7 +78,7 @@
             Ok(Ok(stream)) => stream,
         };
         stream.set_nodelay(true).map_err(|source| EndpointError::Io { source })?;
-        let mut connection = Self { stream, input: LineBuffer::default(), applied_setup: 0 };
+        let mut connection = Self { stream, input: LineBuffer::default(), applied_setup_id: 0 };
         connection.send(startup).await?;
         connection.read_startup::<C>().await?;
         Ok(connection)
--- a/crates/engine/src/instance.rs
+++ b/crates/engine/src/instance.rs
@@ -35,7 +35,7 @@
     pub record: InstanceRecord,
     /// Address on which callers are accepted.
     pub caller_address: SocketAddr,
-    /// Whether the whole system starts for the first time, so that no operation was admitted before.
+    /// Whether the whole system starts for the first time, so no operation was admitted before.
     pub first_start: bool,
     /// Time from the stop signal until the process is killed.
     pub grace_period: Duration,
@@ -271,7 +271,7 @@
             tables: self.tables.borrow().versions(),
             duty: self.promotion_token.get(),
             store_reached: self.store_reachable.get(),
-            failing: self.pools.failing_endpoints(),
+            failing: self.pools.unreachable_endpoints(),
             leaders: directory.leaders(),
         }
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,8 +1,8 @@
 //! Engine of an instance that serves a line protocol: caller sessions, endpoint connections, links
 //! to peer instances and failover.
 //!
-//! Decisions are made by the state machines in `coord`. This crate does the input and output, through
-//! the traits in [`link`].
+//! Decisions are made by the state machines in `coord`. This crate does the input and output,
+//! through the traits in [`link`].
 
 pub mod admission;
 pub mod caller;
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -61,10 +61,10 @@
         Ok(())
     }
 
-    /// Announces that the instance is leaving, unregisters it and waits for open sessions and pinned
-    /// connections.
+    /// Announces that the instance is leaving, unregisters it and waits until open sessions and
+    /// transactions have ended.
     ///
-    /// Returns when the process may exit, at the latest after [`DRAIN_FRACTION`] of the grace period.
+    /// Returns when the process may exit, at most `DRAIN_FRACTION` of the grace period later.
     pub async fn stop(self: &Rc<Self>) {
         log_event!(LogEvent::DrainStarted, "callers={}", self.caller_count.get());
         self.start_leaving();
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -97,7 +97,7 @@
         let mut holders = self.peers.holders(endpoint, zone, self.is_leaving());
         holders.sort_by_key(|name| {
             if name == self.name() {
-                return self.pools.failing_since(endpoint).is_some();
+                return self.pools.unreachable_since(endpoint).is_some();
             }
             let link = self.peers.link(name);
             link.is_some_and(|link| {
@@ -193,7 +193,7 @@
                 let quiet = link.last_response_at.get().is_none()
                     || older(link.last_response_at.get(), IDLE_PERIOD);
                 if quiet || needs_proof || link.has_pending_calls() {
-                    let number = link.next_call_number();
+                    let number = link.new_call_id();
                     output.push(&PeerRequest::Ping { number, known: link.status_version.get() });
                     if link.validation_ping.get().is_none_or(|(_, at)| older(Some(at), IDLE_PERIOD))
                     {
--- a/crates/engine/src/peer_link.rs
+++ b/crates/engine/src/peer_link.rs
@@ -107,7 +107,7 @@
     }
 }
 
-/// Senders that pass answers to the waiting calls of one kind, by call number.
+/// Senders that pass answers to the waiting calls of one kind, by call identifier.
 type ReplySenders<T> = HashMap<u32, oneshot::Sender<T>>;
 
 /// Calls in flight.
@@ -127,7 +127,7 @@
     /// Output of the open connection; set once the peer has responded on it.
     pub(crate) output: RefCell<Option<Rc<OutputQueue>>>,
     pub(crate) pending: RefCell<PendingCalls>,
-    pub(crate) next_call: Cell<u32>,
+    pub(crate) next_call_id: Cell<u32>,
     /// Output of the open connection, whether the peer has responded on it or not.
     pub(crate) open_output: RefCell<Option<Rc<OutputQueue>>>,
     pub(crate) last_response_at: Cell<Option<Instant>>,
@@ -148,7 +148,7 @@
             record,
             output: RefCell::default(),
             pending: RefCell::default(),
-            next_call: Cell::new(1),
+            next_call_id: Cell::new(1),
             open_output: RefCell::default(),
             last_response_at: Cell::new(None),
             unanswered_since: Cell::new(None),
@@ -176,11 +176,11 @@
         !pending.execute.is_empty() || !pending.admission.is_empty()
     }
 
-    /// Returns a new number for a call or ping.
-    pub(crate) fn next_call_number(&self) -> u32 {
-        let call = self.next_call.get();
-        self.next_call.set(call.wrapping_add(1));
-        call
+    /// Returns a new identifier for a call or ping.
+    pub(crate) fn new_call_id(&self) -> u32 {
+        let call_id = self.next_call_id.get();
+        self.next_call_id.set(call_id.wrapping_add(1));
+        call_id
     }
 
     /// Runs statements through the peer, which owns the endpoint's connections.
@@ -235,19 +235,19 @@
         self.send_call(|pending| &mut pending.table, answer_timeout, request).await
     }
 
-    /// Sends a request with a new call number and waits for the answer up to `answer_timeout`.
+    /// Sends a request with a new call identifier and waits for the answer up to `answer_timeout`.
     async fn send_call<T>(
         &self,
         senders: fn(&mut PendingCalls) -> &mut ReplySenders<T>,
         answer_timeout: Duration,
         request: impl FnOnce(u32) -> PeerRequest,
     ) -> Option<T> {
-        let call = self.next_call_number();
+        let call_id = self.new_call_id();
         let (sender, receiver) = oneshot::channel();
-        senders(&mut self.pending.borrow_mut()).insert(call, sender);
-        self.send(&request(call));
+        senders(&mut self.pending.borrow_mut()).insert(call_id, sender);
+        self.send(&request(call_id));
         let answer = timeout(answer_timeout, receiver).await;
-        senders(&mut self.pending.borrow_mut()).remove(&call);
+        senders(&mut self.pending.borrow_mut()).remove(&call_id);
         answer.ok()?.ok()
     }
 
@@ -285,8 +285,8 @@
 }
 
 /// Completes a call with its answer.
-fn deliver<T>(senders: &mut ReplySenders<T>, call: u32, content: T) {
-    if let Some(sender) = senders.remove(&call) {
+fn deliver<T>(senders: &mut ReplySenders<T>, call_id: u32, content: T) {
+    if let Some(sender) = senders.remove(&call_id) {
         // The receiver is dropped if the call timed out.
         let _ = sender.send(content);
     }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -49,7 +49,7 @@
     pub(crate) max_open: Cell<usize>,
     /// Notified when a connection is returned or closed.
     pub(crate) connection_freed: Notify,
-    pub(crate) failing_since: Cell<Option<Instant>>,
+    pub(crate) unreachable_since: Cell<Option<Instant>>,
     pub(crate) last_attempt_at: Cell<Option<Instant>>,
     pub(crate) last_response_at: Cell<Option<Instant>>,
     pub(crate) probe_in_flight: Cell<bool>,
@@ -100,23 +100,24 @@
     /// Records a response of the endpoint.
     pub(crate) fn record_response(&self, now: Instant) {
         self.last_response_at.set(Some(now));
-        if self.failing_since.replace(None).is_some() {
+        if self.unreachable_since.replace(None).is_some() {
             log_event!(LogEvent::MemberFound, "endpoint={}", self.endpoint);
         }
     }
 
     /// Records that the endpoint could not be reached.
     pub(crate) fn record_failure(&self, now: Instant, cause: &EndpointError) {
-        if self.failing_since.get().is_none() {
-            self.failing_since.set(Some(now));
+        if self.unreachable_since.get().is_none() {
+            self.unreachable_since.set(Some(now));
             log_event!(LogEvent::MemberLost, "endpoint={} cause=\"{cause}\"", self.endpoint);
         }
     }
 
-    /// Returns whether the endpoint is unreachable and was tried less than [`RECONNECT_BACKOFF`] ago.
+    /// Returns whether the endpoint is unreachable and the last attempt was less than
+    /// [`RECONNECT_BACKOFF`] ago.
     pub(crate) fn is_in_backoff(&self, now: Instant) -> bool {
         let recent = |at: Instant| now.saturating_duration_since(at) < RECONNECT_BACKOFF;
-        self.failing_since.get().is_some() && self.last_attempt_at.get().is_some_and(recent)
+        self.unreachable_since.get().is_some() && self.last_attempt_at.get().is_some_and(recent)
     }
 }
 
--- a/crates/engine/src/steward.rs
+++ b/crates/engine/src/steward.rs
@@ -233,7 +233,7 @@
                 let stays = directory.endpoint(&leader).is_some_and(|entry| entry.stays());
                 let failing = |since: Instant| now.saturating_duration_since(since) >= FAILING_TIME;
                 !stays
-                    || self.pools.failing_since(&leader).is_some_and(failing)
+                    || self.pools.unreachable_since(&leader).is_some_and(failing)
                     || self.peers.live().iter().any(|peer| peer.status().failing.contains(&leader))
             }
         };
