--- /dev/null
+++ b/crates/engine/src/admission.rs
@@ -0,0 +1,107 @@
+//! Admission of operations within the rate limits of teams.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use coord::priority::PriorityLevel;
+use coord::quota::TOKEN_TIMEOUT;
+use coord::rendezvous;
+use tokio::time::sleep;
+
+use crate::instance::{EngineTypes, GatewayInstance};
+use crate::message::CountAnswer;
+
+/// Bounds the wait for the answer of a quota owner.
+const ADMISSION_TIMEOUT: Duration = Duration::from_millis(150);
+/// Quota owners asked before the instance decides locally.
+const MAX_QUOTA_OWNERS: usize = 2;
+/// Shortest retry delay stated in a refusal.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which the reachable fraction of instances is updated.
+const REACHABILITY_INTERVAL: Duration = Duration::from_millis(200);
+
+impl<E: EngineTypes> GatewayInstance<E> {
+    /// Admits an operation of a team, or returns the delay after which a retry may be admitted.
+    ///
+    /// Sleeps until the next token is available if that takes at most `max_wait`.
+    pub async fn admit(
+        self: &Rc<Self>,
+        team: &str,
+        priority: PriorityLevel,
+        max_wait: Duration,
+    ) -> Result<(), Duration> {
+        let max_wait = max_wait.min(TOKEN_TIMEOUT);
+        if self.directory.borrow().document().limit(team).is_none() {
+            return Ok(());
+        }
+        match self.request_admission(team, priority, max_wait).await {
+            CountAnswer::Admitted { after } if after.is_zero() => Ok(()),
+            CountAnswer::Admitted { after } => {
+                sleep(after).await;
+                Ok(())
+            }
+            CountAnswer::Refused { retry } => Err(retry.max(MIN_RETRY_DELAY)),
+        }
+    }
+
+    /// Decides about an operation as the quota owner of its team.
+    pub fn admit_locally(
+        &self,
+        team: &str,
+        priority: PriorityLevel,
+        max_wait: Duration,
+    ) -> CountAnswer {
+        let document = self.directory.borrow().document();
+        let Some(limit) = document.limit(team) else {
+            return CountAnswer::Admitted { after: Duration::ZERO };
+        };
+        let (first_start, now) = (self.is_first_start(), self.now());
+        match self.quotas.borrow_mut().take(
+            team,
+            limit,
+            document.rank(priority),
+            max_wait,
+            first_start,
+            now,
+        ) {
+            Ok(after) => CountAnswer::Admitted { after },
+            Err(delay) => CountAnswer::Refused { retry: delay.retry_after },
+        }
+    }
+
+    /// Updates the reachable fraction of instances that the quotas are scaled by.
+    pub async fn track_reachability(self: Rc<Self>) {
+        loop {
+            let reached = self.peers.live().len() + 1;
+            let registered = self.peers.registered();
+            self.quotas.borrow_mut().record_reachable(reached, registered, self.now());
+            sleep(REACHABILITY_INTERVAL).await;
+        }
+    }
+
+    /// Asks the quota owner of a team for a decision, or decides locally if none answers.
+    async fn request_admission(
+        self: &Rc<Self>,
+        team: &str,
+        priority: PriorityLevel,
+        max_wait: Duration,
+    ) -> CountAnswer {
+        let names = self.peers.staying(self.is_leaving());
+        let order =
+            rendezvous::top_ranked(team, names.iter().map(String::as_str), MAX_QUOTA_OWNERS);
+        for name in order {
+            if name == self.name() {
+                break;
+            }
+            let Some(link) = self.peers.link(name) else {
+                continue;
+            };
+            if let Some(answer) =
+                link.request_admission(team, priority, max_wait, ADMISSION_TIMEOUT).await
+            {
+                return answer;
+            }
+        }
+        self.admit_locally(team, priority, max_wait)
+    }
+}
--- a/crates/engine/src/caller.rs
+++ b/crates/engine/src/caller.rs
@@ -1,4 +1,4 @@
-//! Session of a caller: reads requests, lets members run them and writes answers.
+//! Caller sessions: reads requests, forwards statements to endpoints and writes the answers.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,118 +15,127 @@
 use tokio::time::{sleep, timeout};
 
 use crate::directory::DocumentIndex;
-use crate::lines::LineBuffer;
+use crate::instance::{EngineTypes, GatewayInstance};
+use crate::line_buffer::LineBuffer;
 use crate::link::{CallerRequest, RefusalCode, WireCodec};
-use crate::node::{EngineEdge, GatewayNode};
 use crate::operation::{OperationContext, OperationResult, PinnedPlace};
 use crate::record::RouteRecord;
 
-/// Time in which a caller must open its session.
+/// Bounds the wait for a caller's startup request.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time for which the opening of a session waits for the first document; callers give up after 2 s.
-const DOCUMENT_PATIENCE: Duration = Duration::from_millis(1_200);
-/// Time between looks for the first document.
-const DOCUMENT_PAUSE: Duration = Duration::from_millis(20);
-/// Pause after an accept that failed, for want of descriptors as a rule.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Time in which a caller must take an answer.
+/// Bounds the wait of a startup request for the first document; callers give up after 2 s.
+const FIRST_DOCUMENT_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Interval at which a startup request checks for the first document.
+const DOCUMENT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Pause after a failed accept, which usually means that file descriptors ran out.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
+/// Bounds the write of an answer to a caller.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for which the balancer may still send callers here after the instance said it leaves.
-const BALANCER_TIME: Duration = Duration::from_millis(2_300);
+/// Time for which idle sessions stay open after the instance announces that it is leaving.
+///
+/// The load balancer may still route callers to the instance for this long.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2_300);
 
-/// Open session.
-struct CallerSession<E: EngineEdge> {
-    node: Rc<GatewayNode<E>>,
+/// Session of one caller.
+struct CallerSession<E: EngineTypes> {
+    instance: Rc<GatewayInstance<E>>,
     reader: OwnedReadHalf,
     writer: OwnedWriteHalf,
     input: LineBuffer,
     database: String,
     key: Option<String>,
-    dialogue: SessionMachine,
-    session: u64,
+    machine: SessionMachine,
+    session_id: u64,
     pinned: Option<PinnedPlace>,
-    /// Arrival of the statement that is being answered.
-    began_at: Instant,
+    /// Time at which the current statement arrived.
+    arrived_at: Instant,
 }
 
-/// Route that a caller may use, with its team.
-type AllowedRoute = (Rc<RouteRecord>, Rc<str>);
+/// Route that the caller may use, and the caller's team.
+type AuthorizedRoute = (Rc<RouteRecord>, Rc<str>);
 
-/// What a session waits for.
+/// Event that a session waits for.
 enum SessionEvent {
     Line(usize, Instant),
     Closed,
-    RestedTooLong,
+    TransactionIdleTimeout,
     Leaving,
 }
 
-impl<E: EngineEdge> GatewayNode<E> {
-    /// Accepts callers.
+impl<E: EngineTypes> GatewayInstance<E> {
+    /// Accepts caller connections and serves each in a task of its own.
     pub async fn accept_callers(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let node = self.clone();
+                    let instance = self.clone();
                     tokio::task::spawn_local(async move {
-                        node.callers.set(node.callers.get() + 1);
-                        serve_caller(&node, stream).await;
-                        node.callers.set(node.callers.get() - 1);
+                        instance.caller_count.set(instance.caller_count.get() + 1);
+                        serve_caller(&instance, stream).await;
+                        instance.caller_count.set(instance.caller_count.get() - 1);
                     });
                 }
                 Err(error) => {
                     log_event!(LogEvent::CallerRefused, "cause=\"accept failed: {error}\"");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 }
 
-async fn serve_caller<E: EngineEdge>(node: &Rc<GatewayNode<E>>, stream: TcpStream) {
+async fn serve_caller<E: EngineTypes>(instance: &Rc<GatewayInstance<E>>, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         log_event!(LogEvent::CallerRefused, "cause=\"{error}\"");
         return;
     }
     let (reader, writer) = stream.into_split();
     let mut session = CallerSession {
-        session: node.new_session(),
-        began_at: node.now(),
-        node: node.clone(),
+        session_id: instance.new_session_id(),
+        arrived_at: instance.now(),
+        instance: instance.clone(),
         reader,
         writer,
         input: LineBuffer::default(),
         database: String::new(),
         key: None,
-        dialogue: SessionMachine::default(),
+        machine: SessionMachine::default(),
         pinned: None,
     };
     if session.open().await.is_some() {
         session.serve().await;
     }
-    session.drop_transaction();
+    session.release_transaction();
 }
 
-impl<E: EngineEdge> CallerSession<E> {
-    /// Reads the opening of the session and answers it; none if the session is not open.
+impl<E: EngineTypes> CallerSession<E> {
+    /// Handles the startup request. Returns `None` if the session was not opened.
     async fn open(&mut self) -> Option<()> {
         let first = timeout(STARTUP_TIMEOUT, self.next_line()).await;
         let Ok(Some(length)) = first else {
             return None;
         };
         let request = E::Codec::decode_request(self.input.line(length));
-        self.input.drop_line(length);
+        self.input.consume_line(length);
         let CallerRequest::Startup { database, key } = request else {
-            self.refuse_startup(RefusalCode::Malformed, "a session must be opened first").await;
+            self.refuse_startup(
+                RefusalCode::Malformed,
+                "the first request must be a startup request",
+            )
+            .await;
             return None;
         };
         (self.database, self.key) = (database, key);
         if !self.wait_for_document().await {
-            self.refuse_startup(RefusalCode::Busy, "not run: the instance has no document yet")
-                .await;
+            self.refuse_startup(
+                RefusalCode::Busy,
+                "not run: the instance has not received a document yet",
+            )
+            .await;
             return None;
         }
-        if let Err((code, text)) = self.authorize() {
-            self.refuse_startup(code, text).await;
+        if let Err((code, explanation)) = self.authorize() {
+            self.refuse_startup(code, explanation).await;
             return None;
         }
         let mut out = Vec::new();
@@ -134,19 +143,21 @@
         self.write(&out).await
     }
 
-    /// Waits a short while for the first document; without one nobody can be told what exists.
+    /// Waits for the first document, without which no database or key is known.
+    ///
+    /// Returns false after [`FIRST_DOCUMENT_TIMEOUT`].
     async fn wait_for_document(&self) -> bool {
-        let begun_at = self.node.now();
-        while !self.node.directory.borrow().is_complete() {
-            if self.node.now().saturating_duration_since(begun_at) > DOCUMENT_PATIENCE {
+        let started_at = self.instance.now();
+        while !self.instance.directory.borrow().is_complete() {
+            if self.instance.now().saturating_duration_since(started_at) > FIRST_DOCUMENT_TIMEOUT {
                 return false;
             }
-            sleep(DOCUMENT_PAUSE).await;
+            sleep(DOCUMENT_POLL_INTERVAL).await;
         }
         true
     }
 
-    async fn refuse_startup(&mut self, code: RefusalCode, text: &str) {
+    async fn refuse_startup(&mut self, code: RefusalCode, explanation: &str) {
         log_event!(
             LogEvent::CallerRefused,
             "database={} code={code:?} document={}",
@@ -154,24 +165,25 @@
             self.document().version
         );
         let mut out = Vec::new();
-        E::Codec::encode_error(&mut out, code, text);
+        E::Codec::encode_error(&mut out, code, explanation);
         if self.write(&out).await.is_some() {
-            // A caller that is gone already has no use for the end of the connection.
+            // The caller may have closed the connection already.
             let _ = self.writer.shutdown().await;
         }
     }
 
     async fn serve(&mut self) {
         loop {
-            match self.wait().await {
-                SessionEvent::Line(length, began_at) => {
+            match self.next_event().await {
+                SessionEvent::Line(length, arrived_at) => {
                     let request = E::Codec::decode_request(self.input.line(length));
-                    self.input.drop_line(length);
+                    self.input.consume_line(length);
                     match request {
                         CallerRequest::Terminate => return,
                         CallerRequest::Statement { id, text, class } => {
-                            self.began_at = began_at;
-                            let answer = self.answer(&id, &text, &class, began_at).await;
+                            self.arrived_at = arrived_at;
+                            let answer =
+                                self.answer_statement(&id, &text, &class, arrived_at).await;
                             if self.write(&answer).await.is_none() {
                                 return;
                             }
@@ -179,58 +191,59 @@
                         CallerRequest::Startup { .. } | CallerRequest::Malformed => {
                             let mut out = Vec::new();
                             let code = RefusalCode::Malformed;
-                            E::Codec::encode_error(&mut out, code, "request cannot be understood");
-                            E::Codec::encode_ready(&mut out, self.dialogue.transaction_state());
+                            E::Codec::encode_error(&mut out, code, "malformed request");
+                            E::Codec::encode_ready(&mut out, self.machine.transaction_state());
                             if self.write(&out).await.is_none() {
                                 return;
                             }
                         }
                     }
                 }
-                SessionEvent::RestedTooLong => {
+                SessionEvent::TransactionIdleTimeout => {
                     log_event!(LogEvent::TransactionExpired, "database={}", self.database);
-                    self.drop_transaction();
-                    self.dialogue.fail_transaction();
+                    self.release_transaction();
+                    self.machine.fail_transaction();
                 }
                 SessionEvent::Closed | SessionEvent::Leaving => return,
             }
         }
     }
 
-    /// Waits for a request, for the end of the session or for the end of a transaction's rest.
-    async fn wait(&mut self) -> SessionEvent {
+    /// Waits for the next request, the end of the session or the idle timeout of a transaction.
+    async fn next_event(&mut self) -> SessionEvent {
         if let Some(length) = self.input.line_length() {
-            return SessionEvent::Line(length, self.node.now());
+            return SessionEvent::Line(length, self.instance.now());
         }
-        let node = self.node.clone();
-        let rest = match self.document().transaction_idle {
-            Some(limit) if self.dialogue.is_pinned() => Some(limit),
+        let instance = self.instance.clone();
+        let idle_limit = match self.document().transaction_idle {
+            Some(limit) if self.machine.is_pinned() => Some(limit),
             _ => None,
         };
-        let rested_too_long = async {
-            match rest {
+        let idle_timeout = async {
+            match idle_limit {
                 Some(limit) => sleep(limit).await,
                 None => std::future::pending().await,
             }
         };
-        let idle = self.dialogue.transaction_state() == TransactionState::Idle;
+        let between_transactions = self.machine.transaction_state() == TransactionState::Idle;
         let leaving = async {
-            node.left().await;
-            if !idle {
+            instance.wait_for_leaving().await;
+            if !between_transactions {
                 std::future::pending::<()>().await;
             }
-            // Closed before the balancer passes this instance over, callers would come back to it.
-            let since = node.leaving_since().unwrap_or_else(|| node.now());
-            let over = node.now().saturating_duration_since(since);
-            sleep(BALANCER_TIME.saturating_sub(over)).await;
+            // If sessions closed before the balancer stops using this instance, callers would
+            // reconnect to it.
+            let since = instance.leaving_since().unwrap_or_else(|| instance.now());
+            let elapsed = instance.now().saturating_duration_since(since);
+            sleep(IDLE_CLOSE_DELAY.saturating_sub(elapsed)).await;
         };
         tokio::select! {
             biased;
             line = next_line::<E>(&mut self.input, &mut self.reader) => match line {
-                Some(length) => SessionEvent::Line(length, node.now()),
+                Some(length) => SessionEvent::Line(length, instance.now()),
                 None => SessionEvent::Closed,
             },
-            () = rested_too_long => SessionEvent::RestedTooLong,
+            () = idle_timeout => SessionEvent::TransactionIdleTimeout,
             () = leaving => SessionEvent::Leaving,
         }
     }
@@ -239,47 +252,48 @@
         next_line::<E>(&mut self.input, &mut self.reader).await
     }
 
-    /// Decides about a statement and returns the answer.
-    async fn answer(
+    /// Handles a statement and returns the encoded answer.
+    async fn answer_statement(
         &mut self,
         id: &str,
         text: &str,
         class: &StatementClass,
-        began_at: Instant,
+        arrived_at: Instant,
     ) -> Vec<u8> {
         let mut out = Vec::new();
         let (route, team) = match self.authorize() {
-            Ok(allowed) => allowed,
+            Ok(authorized) => authorized,
             Err((code, explanation)) => {
-                self.drop_transaction();
-                self.dialogue.fail_transaction();
+                self.release_transaction();
+                self.machine.fail_transaction();
                 self.log_refusal(id, code, explanation);
                 E::Codec::encode_error(&mut out, code, explanation);
-                E::Codec::encode_ready(&mut out, self.dialogue.transaction_state());
+                E::Codec::encode_ready(&mut out, self.machine.transaction_state());
                 return out;
             }
         };
-        match self.dialogue.handle_statement(class, text, began_at) {
+        match self.machine.handle_statement(class, text, arrived_at) {
             StatementAction::Acknowledge => E::Codec::encode_acknowledgement(&mut out),
             StatementAction::RollbackPinned => {
-                self.drop_transaction();
+                self.release_transaction();
                 E::Codec::encode_acknowledgement(&mut out);
             }
             StatementAction::Refuse(error) => {
-                if self.dialogue.transaction_state() == TransactionState::Failed {
-                    self.drop_transaction();
+                if self.machine.transaction_state() == TransactionState::Failed {
+                    self.release_transaction();
                 }
-                let (code, explanation) = explain(error);
+                let (code, explanation) = describe_error(error);
                 E::Codec::encode_error(&mut out, code, explanation);
             }
             StatementAction::Forward(plan) => {
                 self.forward(&plan, &route, &team, id, text, &mut out).await;
             }
         }
-        E::Codec::encode_ready(&mut out, self.dialogue.transaction_state());
+        E::Codec::encode_ready(&mut out, self.machine.transaction_state());
         out
     }
 
+    /// Runs a statement on an endpoint and appends the encoded answer to `out`.
     async fn forward(
         &mut self,
         plan: &ForwardPlan,
@@ -289,64 +303,65 @@
         text: &str,
         out: &mut Vec<u8>,
     ) {
-        let pending = if plan.pinned { self.dialogue.take_pending_setup() } else { Vec::new() };
+        let pending = if plan.pinned { self.machine.take_pending_setup() } else { Vec::new() };
         let context = OperationContext {
             plan,
             route,
             team,
             id,
             text,
-            dialogue: &self.dialogue,
-            session: self.session,
+            dialogue: &self.machine,
+            session: self.session_id,
             pending,
-            arrived_at: self.began_at,
+            arrived_at: self.arrived_at,
         };
-        let result = self.node.run_statement(&context, self.pinned.as_ref()).await;
+        let result = self.instance.run_statement(&context, self.pinned.as_ref()).await;
         let class = if plan.read_only { "read" } else { "write" };
         counter!(meter::REQUESTS, "class" => class).increment(1);
-        let waited = self.node.now().saturating_duration_since(self.began_at);
+        let waited = self.instance.now().saturating_duration_since(self.arrived_at);
         histogram!(meter::REQUEST_SECONDS, "class" => class).record(waited.as_secs_f64());
         match result {
             OperationResult::Success { content, position, place } => {
-                self.dialogue.record_success(plan, position);
+                self.machine.record_success(plan, position);
                 self.pinned = if plan.commits { None } else { place.or(self.pinned.take()) };
                 out.extend_from_slice(&content);
             }
             OperationResult::Failure { content, code, explanation } => {
-                self.dialogue.record_failure(plan);
+                self.machine.record_failure(plan);
                 if !plan.is_autocommit() {
-                    self.drop_transaction();
+                    self.release_transaction();
                 }
                 if content.is_empty() {
                     self.log_refusal(id, code, &explanation);
                     E::Codec::encode_error(out, code, &explanation);
                 } else {
-                    self.log_refusal(id, code, "answer of the member");
+                    self.log_refusal(id, code, "error response of the endpoint");
                     out.extend_from_slice(&content);
                 }
             }
         }
     }
 
-    /// Returns route and team, or why the caller may not go on.
-    fn authorize(&self) -> Result<AllowedRoute, (RefusalCode, &'static str)> {
+    /// Returns the route and the team of the caller, or the reason of the refusal.
+    fn authorize(&self) -> Result<AuthorizedRoute, (RefusalCode, &'static str)> {
         let document = self.document();
         let Some(route) = document.route(&self.database) else {
-            return Err((RefusalCode::UnknownDatabase, "no database of that name"));
+            return Err((RefusalCode::UnknownDatabase, "unknown database"));
         };
         let team = self.key.as_deref().and_then(|key| document.team_of(key));
         match team {
-            Some(_) if !self.node.is_document_confirmed() => {
-                Err((RefusalCode::Busy, "not run: whether the key is still valid cannot be told"))
-            }
+            Some(_) if !self.instance.is_document_validated() => Err((
+                RefusalCode::Busy,
+                "not run: the instance cannot confirm that the key is still valid",
+            )),
             Some(team) => Ok((route, team)),
-            None if route.open_to_all => Ok((route, OPEN_TEAM.into())),
-            None => Err((RefusalCode::UnknownKey, "the key is not known")),
+            None if route.open_to_all => Ok((route, ANONYMOUS_TEAM.into())),
+            None => Err((RefusalCode::UnknownKey, "unknown key")),
         }
     }
 
     fn document(&self) -> Rc<DocumentIndex> {
-        self.node.directory.borrow().document()
+        self.instance.directory.borrow().document()
     }
 
     fn log_refusal(&self, id: &str, code: RefusalCode, explanation: &str) {
@@ -358,31 +373,34 @@
             "request={id} database={} team={} code={} document={} state={:?} waited_ms={} \
              cause=\"{explanation}\"",
             self.database,
-            team.as_deref().unwrap_or(OPEN_TEAM),
+            team.as_deref().unwrap_or(ANONYMOUS_TEAM),
             code.label(),
             document.version,
-            self.dialogue.transaction_state(),
-            self.node.now().saturating_duration_since(self.began_at).as_millis()
+            self.machine.transaction_state(),
+            self.instance.now().saturating_duration_since(self.arrived_at).as_millis()
         );
     }
 
-    /// Ends the open transaction at the member.
-    fn drop_transaction(&mut self) {
+    /// Rolls back the open transaction at its endpoint, if there is one.
+    fn release_transaction(&mut self) {
         if let Some(place) = self.pinned.take() {
-            self.node.dispatch_release(&place.holder, place.channel);
+            self.instance.dispatch_release(&place.holder, place.channel);
         }
     }
 
+    /// Writes to the caller. Returns `None` on failure or after [`WRITE_TIMEOUT`].
     async fn write(&mut self, bytes: &[u8]) -> Option<()> {
         timeout(WRITE_TIMEOUT, self.writer.write_all(bytes)).await.ok()?.ok()
     }
 }
 
-/// Name under which callers without a key are known to endpoints.
-const OPEN_TEAM: &str = "-";
+/// Team name that endpoints see for callers without a key.
+const ANONYMOUS_TEAM: &str = "-";
 
-/// Reads until a whole line is there; none at the end of the stream or past the longest line.
-async fn next_line<E: EngineEdge>(
+/// Reads until the buffer holds a whole line and returns its length.
+///
+/// Returns `None` at the end of the stream, on a read error or if the line exceeds the limit.
+async fn next_line<E: EngineTypes>(
     input: &mut LineBuffer,
     reader: &mut OwnedReadHalf,
 ) -> Option<usize> {
@@ -400,13 +418,15 @@
     }
 }
 
-fn explain(error: StatementError) -> (RefusalCode, &'static str) {
+fn describe_error(error: StatementError) -> (RefusalCode, &'static str) {
     match error {
         StatementError::InvalidState => {
-            (RefusalCode::Malformed, "statement makes no sense in this state of the session")
+            (RefusalCode::Malformed, "statement is not allowed in the current transaction state")
+        }
+        StatementError::UnknownStatement => {
+            (RefusalCode::UnknownName, "unknown prepared statement")
         }
-        StatementError::UnknownStatement => (RefusalCode::UnknownName, "no statement of that name"),
         StatementError::RolledBack => (RefusalCode::Aborted, "the transaction was rolled back"),
-        StatementError::ReadOnly => (RefusalCode::ReadOnly, "the transaction only reads"),
+        StatementError::ReadOnly => (RefusalCode::ReadOnly, "the transaction is read-only"),
     }
 }
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends statements to the instance that holds the endpoint's connections.
+//! Routes statements to the instance that owns the endpoint's connections.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -7,44 +7,45 @@
 use telemetry::event::LogEvent;
 use telemetry::log_event;
 
+use crate::instance::{EngineTypes, GatewayInstance};
 use crate::link::RefusalCode;
 use crate::message::{
     ExecuteCall, ExecuteOutcome, ExecuteReply, HoldReason, StatementAnswer, millis,
 };
-use crate::node::{EngineEdge, GatewayNode};
 
-/// Holders tried for statements that none has sent yet.
-const TRIED_HOLDERS: usize = 3;
+/// Connection owners tried for one call, as long as none has sent it to the endpoint.
+const MAX_OWNER_ATTEMPTS: usize = 3;
 
-/// Reply with the instance that gave it.
+/// Reply to a call, with the instance that sent it.
 #[derive(Debug)]
-pub struct HeldReply {
-    /// Instance that holds the connection.
-    pub holder: String,
-    /// Its reply.
+pub struct OwnerReply {
+    /// Name of the instance that owns the connection.
+    pub owner: String,
+    /// Reply of that instance.
     pub reply: ExecuteReply,
 }
 
-impl<E: EngineEdge> GatewayNode<E> {
-    /// Runs statements through the first holder that reaches the endpoint.
+impl<E: EngineTypes> GatewayInstance<E> {
+    /// Runs a call through the first connection owner that reaches the endpoint.
     ///
-    /// They start before `latest_start` and are answered before `deadline`, or not at all.
+    /// The statements start before `latest_start` or not at all. Their answers are awaited until
+    /// `deadline`.
     pub async fn dispatch(
         self: &Rc<Self>,
         mut call: ExecuteCall,
         latest_start: Instant,
         deadline: Instant,
-    ) -> HeldReply {
+    ) -> OwnerReply {
         let mut last = None;
-        for holder in self.holders_of(&call.endpoint).into_iter().take(TRIED_HOLDERS) {
+        for owner in self.holders_of(&call.endpoint).into_iter().take(MAX_OWNER_ATTEMPTS) {
             let now = self.now();
             if last.is_some() && now >= latest_start {
                 break;
             }
             call.start_within_ms = millis(latest_start.saturating_duration_since(now)).max(1);
             call.answer_within_ms = millis(deadline.saturating_duration_since(now)).max(1);
-            let reply = self.dispatch_to(&holder, call.clone()).await;
-            let goes_on = matches!(
+            let reply = self.dispatch_to(&owner, call.clone()).await;
+            let try_next_owner = matches!(
                 reply.outcome,
                 ExecuteOutcome::NotSent {
                     reason: HoldReason::Unreachable
@@ -53,38 +54,39 @@
                     ..
                 }
             );
-            let held = HeldReply { holder, reply };
-            if !goes_on {
-                return held;
+            let owner_reply = OwnerReply { owner, reply };
+            if !try_next_owner {
+                return owner_reply;
             }
-            last = Some(held);
+            last = Some(owner_reply);
         }
         last.unwrap_or_else(|| {
             let outcome = ExecuteOutcome::NotSent { reason: HoldReason::NoHolder, retry_ms: 0 };
             let reply = ExecuteReply { outcome, queue_ms: 0, mark: None };
-            HeldReply { holder: self.name().to_owned(), reply }
+            OwnerReply { owner: self.name().to_owned(), reply }
         })
     }
 
-    /// Runs statements through a given holder.
-    pub async fn dispatch_to(self: &Rc<Self>, holder: &str, call: ExecuteCall) -> ExecuteReply {
+    /// Runs a call through the given connection owner.
+    pub async fn dispatch_to(self: &Rc<Self>, owner: &str, call: ExecuteCall) -> ExecuteReply {
         let endpoint = call.endpoint.clone();
-        if holder == self.name() {
-            let reply = self.hold_execute(0, call).await;
-            self.learn_queue(&endpoint, &reply);
+        if owner == self.name() {
+            let reply = self.execute_locally(0, call).await;
+            self.record_reply(&endpoint, &reply);
             return reply;
         }
-        let Some(link) = self.peers.link(holder) else {
+        let Some(link) = self.peers.link(owner) else {
             let outcome = ExecuteOutcome::NotSent { reason: HoldReason::NoHolder, retry_ms: 0 };
             return ExecuteReply { outcome, queue_ms: 0, mark: None };
         };
         let sent_at = self.now();
         let reply = link.execute(call).await;
-        self.learn_queue(&endpoint, &reply);
+        self.record_reply(&endpoint, &reply);
         let Some((position, age_ms)) = reply.mark else {
             return reply;
         };
-        // Counted from before the question, the age is an upper bound however long the way took.
+        // Subtracting the age from the time of sending ignores the round trip, so the watermark is
+        // never taken for newer than it is.
         if let Some(asked_at) = sent_at.checked_sub(Duration::from_millis(age_ms.into())) {
             let mut directory = self.directory.borrow_mut();
             let service = directory.endpoint(&endpoint).map(|entry| entry.record.service.clone());
@@ -95,17 +97,17 @@
         reply
     }
 
-    /// Ends a transaction at the instance that holds its connection.
-    pub fn dispatch_release(self: &Rc<Self>, holder: &str, channel: u32) {
-        if holder == self.name() {
-            self.hold_release(0, channel);
-        } else if let Some(link) = self.peers.link(holder) {
-            link.release(channel);
+    /// Rolls back a transaction at the instance that owns its connection.
+    pub fn dispatch_release(self: &Rc<Self>, owner: &str, transaction_id: u32) {
+        if owner == self.name() {
+            self.release_locally(0, transaction_id);
+        } else if let Some(link) = self.peers.link(owner) {
+            link.release(transaction_id);
         }
     }
 
-    /// Remembers what a reply tells about an endpoint.
-    fn learn_queue(&self, endpoint: &str, reply: &ExecuteReply) {
+    /// Records queue delay, reachability and position of an endpoint from a reply.
+    fn record_reply(&self, endpoint: &str, reply: &ExecuteReply) {
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
         directory.observe(endpoint, |view| {
@@ -127,14 +129,21 @@
         });
     }
 
-    /// Learns from the proof that a statement carried whether the endpoint leads.
-    pub(crate) fn learn_leader(&self, endpoint: &str, proof: &StatementAnswer, sent_at: Instant) {
+    /// Records whether the endpoint leads, from its answer to a statement that only leaders accept.
+    ///
+    /// `sent_at` is the time before the statement was sent.
+    pub(crate) fn observe_leadership(
+        &self,
+        endpoint: &str,
+        confirming_answer: &StatementAnswer,
+        sent_at: Instant,
+    ) {
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
-        match (proof.error, proof.position) {
+        match (confirming_answer.error, confirming_answer.position) {
             (None, Some(position)) => {
-                let mark = Watermark { as_of: sent_at, position };
-                if directory.note_leader(endpoint, mark) {
+                let watermark = Watermark { as_of: sent_at, position };
+                if directory.note_leader(endpoint, watermark) {
                     log_event!(
                         LogEvent::PrimaryChanged,
                         "endpoint={endpoint} term={} source=proof",
--- a/crates/engine/src/member.rs
+++ b/crates/engine/src/endpoint_connection.rs
@@ -1,4 +1,4 @@
-//! Connection to an endpoint: sends statements in one write and reads their answers in order.
+//! Connection to an endpoint: statements are pipelined and their answers read in order.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,20 +10,21 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::lines::LineBuffer;
+use crate::line_buffer::LineBuffer;
 use crate::link::{AnswerLine, RefusalCode, WireCodec};
 use crate::message::StatementAnswer;
 
-/// Time in which a TCP connection to an endpoint must open.
+/// Bounds the opening of a TCP connection to an endpoint.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time in which a connection and a session on it must open; the opening waits for a slot.
+/// Bounds the opening of a connection and of the session on it, which waits for a slot of the
+/// endpoint.
 pub const OPEN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Failure of a connection to an endpoint.
 #[derive(Debug, Snafu)]
-pub enum MemberError {
-    /// The connection did not open in time.
-    #[snafu(display("no connection in time"))]
+pub enum EndpointError {
+    /// The connection or its session did not open in time.
+    #[snafu(display("connection timed out"))]
     ConnectTimeout,
     /// The connection failed.
     #[snafu(display("connection failed: {source}"))]
@@ -31,59 +32,60 @@
         /// Cause reported by the operating system.
         source: std::io::Error,
     },
-    /// The endpoint ended the connection.
+    /// The endpoint closed the connection.
     #[snafu(display("connection closed by the endpoint"))]
     Closed,
     /// The endpoint refused the session.
     #[snafu(display("session refused: {code:?}"))]
-    Refused {
-        /// Stated reason.
+    SessionRefused {
+        /// Reason stated by the endpoint.
         code: RefusalCode,
     },
-    /// The answer does not fit the protocol.
-    #[snafu(display("answer cannot be understood"))]
-    Unreadable,
+    /// The answer violates the protocol.
+    #[snafu(display("malformed answer"))]
+    MalformedAnswer,
 }
 
-/// Open connection to an endpoint, on behalf of one team for good.
+/// Open connection to an endpoint. It serves one team for its whole life.
 #[derive(Debug)]
-pub struct MemberConnection {
+pub struct EndpointConnection {
     stream: TcpStream,
     input: LineBuffer,
-    /// Session values and names that it has; zero for none.
-    pub setup: u64,
+    /// Identifier of the session settings and prepared statements that the connection has; zero for
+    /// none.
+    pub applied_setup_id: u64,
 }
 
-impl MemberConnection {
-    /// Opens a connection and a session on it within `limit`.
+impl EndpointConnection {
+    /// Opens a connection and a session on it within `open_timeout`.
     pub async fn open<C: WireCodec>(
         address: SocketAddr,
         startup: &[u8],
-        limit: Duration,
-    ) -> Result<Self, MemberError> {
-        let opening = Self::open_unbounded::<C>(address, startup);
-        timeout(limit, opening).await.unwrap_or_else(|_| ConnectTimeoutSnafu.fail())
+        open_timeout: Duration,
+    ) -> Result<Self, EndpointError> {
+        let opening = Self::connect::<C>(address, startup);
+        timeout(open_timeout, opening).await.unwrap_or_else(|_| ConnectTimeoutSnafu.fail())
     }
 
-    async fn open_unbounded<C: WireCodec>(
+    async fn connect<C: WireCodec>(
         address: SocketAddr,
         startup: &[u8],
-    ) -> Result<Self, MemberError> {
+    ) -> Result<Self, EndpointError> {
         let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = match opened {
             Err(_) => return ConnectTimeoutSnafu.fail(),
-            Ok(Err(source)) => return Err(MemberError::Io { source }),
+            Ok(Err(source)) => return Err(EndpointError::Io { source }),
             Ok(Ok(stream)) => stream,
         };
-        stream.set_nodelay(true).map_err(|source| MemberError::Io { source })?;
-        let mut connection = Self { stream, input: LineBuffer::default(), setup: 0 };
+        stream.set_nodelay(true).map_err(|source| EndpointError::Io { source })?;
+        let mut connection = Self { stream, input: LineBuffer::default(), applied_setup_id: 0 };
         connection.send(startup).await?;
         connection.read_startup::<C>().await?;
         Ok(connection)
     }
 
-    /// Tells whether the other side has ended the connection or sent what nobody asked for.
-    pub fn is_spoilt(&self) -> bool {
+    /// Returns whether the endpoint closed the connection or sent unexpected data.
+    pub fn is_broken(&self) -> bool {
         let mut byte = [0; 1];
         !matches!(
             self.stream.try_read(&mut byte),
@@ -91,13 +93,13 @@
         )
     }
 
-    /// Sends bytes.
-    pub async fn send(&mut self, bytes: &[u8]) -> Result<(), MemberError> {
-        self.stream.write_all(bytes).await.map_err(|source| MemberError::Io { source })
+    /// Sends encoded statements.
+    pub async fn send(&mut self, bytes: &[u8]) -> Result<(), EndpointError> {
+        self.stream.write_all(bytes).await.map_err(|source| EndpointError::Io { source })
     }
 
     /// Reads the answer to one statement.
-    pub async fn read_answer<C: WireCodec>(&mut self) -> Result<StatementAnswer, MemberError> {
+    pub async fn read_answer<C: WireCodec>(&mut self) -> Result<StatementAnswer, EndpointError> {
         let mut content = Vec::new();
         let mut error = None;
         let mut completed = false;
@@ -110,42 +112,43 @@
                 AnswerLine::Content { completes } => completed |= completes,
                 AnswerLine::Error(code) => error = Some(code),
                 AnswerLine::Ready { state, position } => {
-                    self.input.drop_line(length);
+                    self.input.consume_line(length);
                     if !completed && error.is_none() {
-                        return UnreadableSnafu.fail();
+                        return MalformedAnswerSnafu.fail();
                     }
                     return Ok(StatementAnswer { content, error, state, position });
                 }
-                AnswerLine::Malformed => return UnreadableSnafu.fail(),
+                AnswerLine::Malformed => return MalformedAnswerSnafu.fail(),
             }
             self.input.copy_line(length, &mut content);
-            self.input.drop_line(length);
+            self.input.consume_line(length);
         }
     }
 
+    /// Reads the answer to the startup request.
     async fn read_startup<C: WireCodec>(
         &mut self,
-    ) -> Result<(TransactionState, Option<LogPosition>), MemberError> {
+    ) -> Result<(TransactionState, Option<LogPosition>), EndpointError> {
         loop {
             let Some(length) = self.input.line_length() else {
                 self.fill().await?;
                 continue;
             };
             let line = C::decode_answer(self.input.line(length));
-            self.input.drop_line(length);
+            self.input.consume_line(length);
             return match line {
                 AnswerLine::Ready { state, position } => Ok((state, position)),
-                AnswerLine::Error(code) => RefusedSnafu { code }.fail(),
-                _ => UnreadableSnafu.fail(),
+                AnswerLine::Error(code) => SessionRefusedSnafu { code }.fail(),
+                _ => MalformedAnswerSnafu.fail(),
             };
         }
     }
 
-    async fn fill(&mut self) -> Result<(), MemberError> {
+    async fn fill(&mut self) -> Result<(), EndpointError> {
         match self.input.fill(&mut self.stream).await {
             Ok(0) => ClosedSnafu.fail(),
             Ok(_) => Ok(()),
-            Err(source) => Err(MemberError::Io { source }),
+            Err(source) => Err(EndpointError::Io { source }),
         }
     }
 }
--- /dev/null
+++ b/crates/engine/src/instance.rs
@@ -0,0 +1,313 @@
+//! State shared by the tasks of an instance.
+
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use clock::SharedClock;
+use coord::quota::{LimitWindow, TeamQuotas};
+use coord::validation::{ValidationTracker, key_validation_ttl};
+use telemetry::event::LogEvent;
+use telemetry::log_event;
+use tokio::sync::Notify;
+
+use crate::connection_owner::ConnectionPools;
+use crate::directory::FleetDirectory;
+use crate::link::{PlatformLink, RowChange, WireCodec};
+use crate::message::InstanceStatus;
+use crate::peer::PeerTable;
+use crate::record::InstanceRecord;
+use crate::tables::TableCopies;
+
+/// Platform and protocol that an instance is built for.
+pub trait EngineTypes: 'static {
+    /// Services of the platform.
+    type Platform: PlatformLink;
+    /// Codec of the protocol that callers and endpoints speak.
+    type Codec: WireCodec;
+}
+
+/// Settings of an instance.
+#[derive(Clone, Debug)]
+pub struct EngineSettings {
+    /// Registration of this instance.
+    pub record: InstanceRecord,
+    /// Address on which callers are accepted.
+    pub caller_address: SocketAddr,
+    /// Whether the whole system starts for the first time, so no operation was admitted before.
+    pub first_start: bool,
+    /// Time from the stop signal until the process is killed.
+    pub grace_period: Duration,
+    /// Time for which an endpoint still gets new statements after it announces that it is leaving.
+    pub drain_timeout: Duration,
+    /// Bound on the time from the publication of a document until it is in force here.
+    pub document_bound: Duration,
+    /// Bound on the time until a revoked key stops working on every instance, partitioned ones
+    /// included. `None` if the bound holds only on instances that reach the store.
+    pub revocation_bound: Option<Duration>,
+    /// Window over which team limits hold, with the tolerated overage.
+    pub limit_window: LimitWindow,
+}
+
+/// Time after its start for which an instance in a first start may create full token buckets.
+const FIRST_START_PERIOD: Duration = Duration::from_secs(20);
+
+/// State of one instance.
+pub struct GatewayInstance<E: EngineTypes> {
+    /// Settings at the start; see [`Self::update_limits`].
+    pub settings: EngineSettings,
+    /// Source of the current time.
+    pub clock: SharedClock,
+    /// Client of the platform's services.
+    pub platform: E::Platform,
+    /// Document in force, endpoints and leaders.
+    pub directory: RefCell<FleetDirectory>,
+    /// Cached tables of the platform.
+    pub tables: RefCell<TableCopies>,
+    /// Tracks when the document in force was last validated as the newest.
+    pub validation: RefCell<ValidationTracker>,
+    /// Links to peer instances.
+    pub peers: PeerTable,
+    /// Endpoint connections that this instance owns.
+    pub pools: ConnectionPools,
+    /// Token buckets of the teams whose quota owner this instance is.
+    pub quotas: RefCell<TeamQuotas>,
+    /// Notified when the status changes in a way that peers must learn at once.
+    pub status_changed: Notify,
+    /// Number of open caller sessions.
+    pub caller_count: Cell<usize>,
+    grace_period: Cell<Duration>,
+    started_at: Instant,
+    leaving_since: Cell<Option<Instant>>,
+    leave_signal: Notify,
+    store_reachable: Cell<bool>,
+    was_validated: Cell<bool>,
+    promotion_token: Cell<Option<u64>>,
+    next_transaction_id: Cell<u32>,
+    next_session_id: Cell<u32>,
+}
+
+impl<E: EngineTypes> GatewayInstance<E> {
+    /// Creates an instance without document, endpoints and peers.
+    pub fn new(settings: EngineSettings, clock: SharedClock, platform: E::Platform) -> Rc<Self> {
+        let started_at = clock.now();
+        let directory = FleetDirectory::new(settings.drain_timeout);
+        Rc::new(Self {
+            peers: PeerTable::new(settings.record.clone()),
+            directory: RefCell::new(directory),
+            grace_period: Cell::new(settings.grace_period),
+            quotas: RefCell::new(TeamQuotas::new(settings.limit_window)),
+            settings,
+            clock,
+            platform,
+            pools: ConnectionPools::default(),
+            tables: RefCell::default(),
+            validation: RefCell::default(),
+            was_validated: Cell::new(true),
+            status_changed: Notify::new(),
+            started_at,
+            caller_count: Cell::new(0),
+            leaving_since: Cell::new(None),
+            leave_signal: Notify::new(),
+            store_reachable: Cell::new(false),
+            promotion_token: Cell::new(None),
+            next_transaction_id: Cell::new(1),
+            next_session_id: Cell::new(1),
+        })
+    }
+
+    /// Applies limits that changed in the settings while the instance runs.
+    pub fn update_limits(&self, grace_period: Duration, drain_timeout: Duration) {
+        self.grace_period.set(grace_period);
+        self.directory.borrow_mut().set_drain_limit(drain_timeout);
+    }
+
+    /// Returns the time from the stop signal until the process is killed.
+    pub fn grace_period(&self) -> Duration {
+        self.grace_period.get()
+    }
+
+    /// Returns the name of the instance.
+    pub fn name(&self) -> &str {
+        &self.settings.record.name
+    }
+
+    /// Returns the current time.
+    pub fn now(&self) -> Instant {
+        self.clock.now()
+    }
+
+    /// Returns whether the instance can serve callers and is not leaving.
+    pub fn is_ready(&self) -> bool {
+        !self.is_leaving() && self.directory.borrow().is_complete() && self.is_document_validated()
+    }
+
+    /// Returns whether keys may be accepted, because the document was validated recently enough to
+    /// rule out a missed revocation.
+    pub fn is_document_validated(&self) -> bool {
+        !self.max_validation_age().is_some_and(|limit| self.validation_is_older(limit))
+    }
+
+    /// Returns the validation age up to which keys may be accepted, or `None` if it is unbounded.
+    pub fn max_validation_age(&self) -> Option<Duration> {
+        self.settings.revocation_bound.map(key_validation_ttl)
+    }
+
+    /// Returns whether the document was not validated within `age`.
+    ///
+    /// Always false if revoked keys need not stop working on partitioned instances.
+    pub fn validation_is_older(&self, age: Duration) -> bool {
+        let validation_age = self.validation.borrow().validation_age(self.now());
+        self.settings.revocation_bound.is_some()
+            && validation_age.is_none_or(|current| current > age)
+    }
+
+    /// Records that the store, queried at `asked_at`, had no document newer than the cached one.
+    pub fn record_document_validation(&self, asked_at: Instant) {
+        let [version, _] = self.tables.borrow().versions();
+        let mut tracker = self.validation.borrow_mut();
+        tracker.adopt(version);
+        tracker.record_store_version(asked_at, version);
+    }
+
+    /// Logs a change of [`Self::is_document_validated`] since the last call.
+    pub fn log_validation_change(&self) {
+        let validated = self.is_document_validated();
+        if self.was_validated.replace(validated) == validated {
+            return;
+        }
+        let version = self.directory.borrow().document().version;
+        let age = self.validation.borrow().validation_age(self.now());
+        if validated {
+            log_event!(LogEvent::DocumentValidationRestored, "version={version} proof_age={age:?}");
+        } else {
+            log_event!(LogEvent::DocumentValidationExpired, "version={version} proof_age={age:?}");
+        }
+    }
+
+    /// Returns whether the instance has announced that it is leaving.
+    pub fn is_leaving(&self) -> bool {
+        self.leaving_since.get().is_some()
+    }
+
+    /// Returns the time at which the instance announced that it is leaving.
+    pub fn leaving_since(&self) -> Option<Instant> {
+        self.leaving_since.get()
+    }
+
+    /// Announces to caller sessions and peers that the instance is leaving.
+    pub fn start_leaving(&self) {
+        self.leaving_since.set(Some(self.now()));
+        self.leave_signal.notify_waiters();
+        self.status_changed.notify_waiters();
+    }
+
+    /// Waits until the instance announces that it is leaving.
+    pub async fn wait_for_leaving(&self) {
+        let signal = self.leave_signal.notified();
+        if !self.is_leaving() {
+            signal.await;
+        }
+    }
+
+    /// Returns whether new token buckets may start full, since nothing was admitted before.
+    pub fn is_first_start(&self) -> bool {
+        let age = self.now().saturating_duration_since(self.started_at);
+        self.settings.first_start && age < FIRST_START_PERIOD
+    }
+
+    /// Returns a transaction identifier, unique on this instance and never zero.
+    pub fn new_transaction_id(&self) -> u32 {
+        let transaction_id = self.next_transaction_id.get();
+        self.next_transaction_id.set(transaction_id.wrapping_add(1).max(1));
+        transaction_id
+    }
+
+    /// Returns a session identifier, unique over all instances.
+    pub fn new_session_id(&self) -> u64 {
+        let session_id = self.next_session_id.get();
+        self.next_session_id.set(session_id.wrapping_add(1));
+        (self.settings.record.incarnation & 0xffff_ffff) << 32 | u64::from(session_id)
+    }
+
+    /// Records whether the store answered the last call. Logs changes.
+    pub fn record_store_status(&self, reachable: bool, detail: &str) {
+        if self.store_reachable.replace(reachable) == reachable {
+            return;
+        }
+        // Peers in the availability zone may rely on this instance to read the store.
+        self.status_changed.notify_waiters();
+        if reachable {
+            log_event!(LogEvent::PlatformFound, "service=store");
+        } else {
+            log_event!(LogEvent::PlatformLost, "service=store cause=\"{detail}\"");
+        }
+    }
+
+    /// Returns whether the store answered the last call.
+    pub fn is_store_reachable(&self) -> bool {
+        self.store_reachable.get()
+    }
+
+    /// Returns the fencing token if this instance holds the promotion lease.
+    pub fn promotion_token(&self) -> Option<u64> {
+        self.promotion_token.get()
+    }
+
+    /// Sets the fencing token of the promotion lease, or `None` when the lease is lost.
+    pub fn set_promotion_token(&self, token: Option<u64>) {
+        if self.promotion_token.replace(token) != token {
+            self.status_changed.notify_waiters();
+            log_event!(LogEvent::PromotionLeaseChanged, "token={token:?}");
+        }
+    }
+
+    /// Returns the status that is reported to peers.
+    pub fn status(&self) -> InstanceStatus {
+        let directory = self.directory.borrow();
+        InstanceStatus {
+            leaving: self.is_leaving(),
+            tables: self.tables.borrow().versions(),
+            duty: self.promotion_token.get(),
+            store_reached: self.store_reachable.get(),
+            failing: self.pools.unreachable_endpoints(),
+            leaders: directory.leaders(),
+        }
+    }
+
+    /// Applies a changed row of a watched table to the directory.
+    pub fn apply_row_change(&self, change: RowChange) {
+        let now = self.now();
+        match change {
+            RowChange::Document(document) => {
+                let (version, routes) = (document.version, document.routes.len());
+                let teams = document.teams.len();
+                if self.directory.borrow_mut().apply_document(document) {
+                    log_event!(
+                        LogEvent::DocumentInForce,
+                        "version={version} routes={routes} teams={teams}"
+                    );
+                }
+            }
+            RowChange::DocumentUnreadable(reason) => {
+                log_event!(LogEvent::DocumentRefused, "cause=\"{reason}\"");
+            }
+            RowChange::Endpoint(record) => {
+                let line = format!(
+                    "endpoint={} service={} zone={} leaving={} leads={}",
+                    record.name, record.service, record.zone, record.leaving, record.leads
+                );
+                if self.directory.borrow_mut().apply_endpoint(record, now) {
+                    log_event!(LogEvent::EndpointListed, "{line}");
+                }
+            }
+            RowChange::EndpointGone { name, reason } => {
+                if self.directory.borrow_mut().remove_endpoint(&name, now) {
+                    let reason = reason.unwrap_or_else(|| "row removed".to_owned());
+                    log_event!(LogEvent::EndpointUnlisted, "endpoint={name} cause=\"{reason}\"");
+                }
+            }
+        }
+    }
+}
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,24 +1,25 @@
-//! Engine of an instance that serves a line protocol: sessions, endpoint connections, peers, duty.
+//! Engine of an instance that serves a line protocol: caller sessions, endpoint connections, links
+//! to peer instances and failover.
 //!
-//! The decisions are in `coord`; this crate performs their input and output over the edges in
-//! [`link`].
+//! Decisions are made by the state machines in `coord`. This crate does the input and output,
+//! through the traits in [`link`].
 
+pub mod admission;
 pub mod caller;
-pub mod channel;
+pub mod connection_owner;
 pub mod directory;
 pub mod dispatch;
-pub mod holder;
-pub mod limits;
-pub mod lines;
+pub mod endpoint_connection;
+pub mod instance;
+pub mod lifecycle;
+pub mod line_buffer;
 pub mod link;
-pub mod member;
 pub mod message;
-pub mod node;
 pub mod operation;
 pub mod peer;
+pub mod peer_link;
 mod pool;
 pub mod record;
-pub mod run;
 pub mod steward;
 pub mod tables;
 pub mod watch;
--- /dev/null
+++ b/crates/engine/src/lifecycle.rs
@@ -0,0 +1,89 @@
+//! Startup and graceful shutdown of an instance.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use metrics::gauge;
+use snafu::{ResultExt, Snafu};
+use telemetry::event::LogEvent;
+use telemetry::{log_event, meter};
+use tokio::net::TcpListener;
+use tokio::time::sleep;
+
+use crate::instance::{EngineTypes, GatewayInstance};
+use crate::link::{PlatformLink, WatchedTable};
+
+/// Fraction of the grace period after which the instance stops waiting for open sessions.
+const DRAIN_FRACTION: f64 = 0.85;
+/// Interval at which a draining instance checks for open sessions and transactions.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval of eviction, validation checks and metric updates.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum time from the announcement of leaving to the exit, in which peers learn of it.
+const LEAVE_NOTICE_PERIOD: Duration = Duration::from_millis(2_600);
+
+/// Failure to listen on an address.
+#[derive(Debug, Snafu)]
+#[snafu(display("cannot listen on {address}: {source}"))]
+pub struct ListenError {
+    /// Address that could not be bound.
+    address: std::net::SocketAddr,
+    /// Cause reported by the operating system.
+    source: std::io::Error,
+}
+
+impl<E: EngineTypes> GatewayInstance<E> {
+    /// Binds the listeners and starts the tasks of the instance on the current local set.
+    pub async fn start(self: &Rc<Self>) -> Result<(), ListenError> {
+        let address = self.settings.record.address;
+        let peers = TcpListener::bind(address).await.context(ListenSnafu { address })?;
+        let address = self.settings.caller_address;
+        let callers = TcpListener::bind(address).await.context(ListenSnafu { address })?;
+        tokio::task::spawn_local(self.clone().accept_peers(peers));
+        tokio::task::spawn_local(self.clone().accept_callers(callers));
+        tokio::task::spawn_local(self.clone().watch_table(WatchedTable::Document));
+        tokio::task::spawn_local(self.clone().watch_table(WatchedTable::Endpoints));
+        tokio::task::spawn_local(self.clone().keep_registered());
+        tokio::task::spawn_local(self.clone().heal_tables());
+        tokio::task::spawn_local(self.clone().ping_peers());
+        tokio::task::spawn_local(self.clone().track_reachability());
+        tokio::task::spawn_local(self.clone().serve_duty());
+        let instance = self.clone();
+        tokio::task::spawn_local(async move {
+            loop {
+                sleep(MAINTENANCE_INTERVAL).await;
+                instance.evict_idle_connections();
+                instance.log_validation_change();
+                gauge!(meter::CALLERS).set(instance.caller_count.get() as f64);
+                gauge!(meter::ENDPOINT_WORK).set(instance.pools.outstanding_requests() as f64);
+            }
+        });
+        Ok(())
+    }
+
+    /// Announces that the instance is leaving, unregisters it and waits until open sessions and
+    /// transactions have ended.
+    ///
+    /// Returns when the process may exit, at most `DRAIN_FRACTION` of the grace period later.
+    pub async fn stop(self: &Rc<Self>) {
+        log_event!(LogEvent::DrainStarted, "callers={}", self.caller_count.get());
+        self.start_leaving();
+        let removal = self.platform.remove_instance(self.name());
+        let started_at = self.now();
+        tokio::pin!(removal);
+        let removed = tokio::time::timeout(LEAVE_NOTICE_PERIOD, removal).await;
+        if let Ok(Err(error)) = &removed {
+            log_event!(LogEvent::PlatformLost, "step=unregister cause=\"{error}\"");
+        }
+        let drain_timeout = self.grace_period().mul_f64(DRAIN_FRACTION);
+        loop {
+            let elapsed = self.now().saturating_duration_since(started_at);
+            let open = self.caller_count.get() > 0 || self.pools.has_pinned_connections();
+            if elapsed >= drain_timeout || (elapsed >= LEAVE_NOTICE_PERIOD && !open) {
+                break;
+            }
+            sleep(DRAIN_POLL_INTERVAL).await;
+        }
+        log_event!(LogEvent::DrainEnded, "callers={}", self.caller_count.get());
+    }
+}
