--- a/crates/engine/src/caller.rs
+++ b/crates/engine/src/caller.rs
@@ -15,11 +15,11 @@
 use tokio::time::{sleep, timeout};
 
 use crate::directory::DocumentIndex;
+use crate::interface::{CallerRequest, RefusalCode, WireCodec};
 use crate::lines::LineBuffer;
-use crate::link::{CallerRequest, RefusalCode, WireCodec};
 use crate::node::{EngineEdge, GatewayNode};
-use crate::operation::{OperationContext, OperationResult, PinnedPlace};
 use crate::record::RouteRecord;
+use crate::statement::{PinnedTransaction, StatementContext, StatementResult};
 
 /// Time in which a caller must open its session.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(3);
@@ -44,7 +44,7 @@
     key: Option<String>,
     dialogue: SessionDialogue,
     session: u64,
-    pinned: Option<PinnedPlace>,
+    pinned: Option<PinnedTransaction>,
     /// Arrival of the statement that is being answered.
     began_at: Instant,
 }
@@ -137,7 +137,7 @@
     /// Waits a short while for the first document; without one nobody can be told what exists.
     async fn wait_for_document(&self) -> bool {
         let begun_at = self.node.now();
-        while !self.node.directory.borrow().is_complete() {
+        while !self.node.directory.borrow().is_loaded() {
             if self.node.now().saturating_duration_since(begun_at) > DOCUMENT_PATIENCE {
                 return false;
             }
@@ -203,7 +203,7 @@
             return SessionEvent::Line(length, self.node.now());
         }
         let node = self.node.clone();
-        let rest = match self.document().transaction_idle {
+        let rest = match self.document().transaction_idle_timeout {
             Some(limit) if self.dialogue.is_pinned() => Some(limit),
             _ => None,
         };
@@ -290,15 +290,15 @@
         out: &mut Vec<u8>,
     ) {
         let pending = if plan.pinned { self.dialogue.take_pending() } else { Vec::new() };
-        let context = OperationContext {
+        let context = StatementContext {
             plan,
             route,
             team,
-            id,
+            request_id: id,
             text,
-            dialogue: &self.dialogue,
-            session: self.session,
-            pending,
+            session_state: &self.dialogue,
+            session_id: self.session,
+            pending_setup: pending,
             arrived_at: self.began_at,
         };
         let result = self.node.run_statement(&context, self.pinned.as_ref()).await;
@@ -307,12 +307,12 @@
         let waited = self.node.now().saturating_duration_since(self.began_at);
         histogram!(meter::REQUEST_SECONDS, "class" => class).record(waited.as_secs_f64());
         match result {
-            OperationResult::Success { content, position, place } => {
+            StatementResult::Success { content, position, transaction } => {
                 self.dialogue.note_success(plan, position);
-                self.pinned = if plan.commits { None } else { place.or(self.pinned.take()) };
+                self.pinned = if plan.commits { None } else { transaction.or(self.pinned.take()) };
                 out.extend_from_slice(&content);
             }
-            OperationResult::Failure { content, code, explanation } => {
+            StatementResult::Failure { content, code, explanation } => {
                 self.dialogue.note_failure(plan);
                 if !plan.is_single() {
                     self.drop_transaction();
@@ -334,13 +334,13 @@
         let Some(route) = document.route(&self.database) else {
             return Err((RefusalCode::UnknownDatabase, "no database of that name"));
         };
-        let team = self.key.as_deref().and_then(|key| document.team_of(key));
+        let team = self.key.as_deref().and_then(|key| document.team_by_key(key));
         match team {
             Some(_) if !self.node.is_document_confirmed() => {
                 Err((RefusalCode::Busy, "not run: whether the key is still valid cannot be told"))
             }
             Some(team) => Ok((route, team)),
-            None if route.open_to_all => Ok((route, OPEN_TEAM.into())),
+            None if route.public => Ok((route, OPEN_TEAM.into())),
             None => Err((RefusalCode::UnknownKey, "the key is not known")),
         }
     }
@@ -352,7 +352,7 @@
     fn log_refusal(&self, id: &str, code: RefusalCode, explanation: &str) {
         counter!(meter::REFUSALS, "reason" => code.label()).increment(1);
         let document = self.document();
-        let team = self.key.as_deref().and_then(|key| document.team_of(key));
+        let team = self.key.as_deref().and_then(|key| document.team_by_key(key));
         log_event!(
             LogEvent::RequestRefused,
             "request={id} database={} team={} code={} document={} state={:?} waited_ms={} \
@@ -369,7 +369,7 @@
     /// Ends the open transaction at the member.
     fn drop_transaction(&mut self) {
         if let Some(place) = self.pinned.take() {
-            self.node.dispatch_release(&place.holder, place.channel);
+            self.node.dispatch_release(&place.owner, place.transaction_id);
         }
     }
 
@@ -390,7 +390,7 @@
         if let Some(length) = input.line_length() {
             return Some(length);
         }
-        if input.len() > E::Codec::LINE_LIMIT {
+        if input.len() > E::Codec::MAX_LINE_BYTES {
             return None;
         }
         match input.fill(reader).await {
--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -13,10 +13,10 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::timeout;
 
-use crate::link::WatchedTable;
+use crate::interface::WatchedTable;
 use crate::message::{
-    CountAnswer, DocumentProof, ExecuteCall, ExecuteOutcome, ExecuteReply, HoldReason,
-    InstanceStatus, PeerReply, PeerRequest, encode, millis,
+    AdmissionDecision, DocumentValidation, ExecuteCall, ExecuteOutcome, ExecuteReply,
+    InstanceStatus, NotSentReason, PeerReply, PeerRequest, encode, millis,
 };
 use crate::record::InstanceRecord;
 use crate::tables::StoredRow;
@@ -92,13 +92,13 @@
     pub(crate) fn tell(
         &self,
         output: &OutputQueue,
-        number: u32,
+        ping_id: u32,
         known: u32,
-        proof: Option<DocumentProof>,
+        validation: Option<DocumentValidation>,
     ) {
         let version = self.version.get();
         let status = (known != version).then(|| Box::new(self.told.borrow().clone()));
-        output.push(&PeerReply::Pong { number, proof, version, status });
+        output.push(&PeerReply::Pong { ping_id, validation, status_version: version, status });
     }
 }
 
@@ -109,7 +109,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PendingCalls {
     pub(crate) execute: CallWaiters<ExecuteReply>,
-    pub(crate) count: CallWaiters<CountAnswer>,
+    pub(crate) count: CallWaiters<AdmissionDecision>,
     pub(crate) probe: CallWaiters<bool>,
     pub(crate) table: CallWaiters<(Vec<StoredRow>, u64)>,
 }
@@ -179,34 +179,35 @@
         if self.output.borrow().is_none() {
             return not_held();
         }
-        let limit = Duration::from_millis(u64::from(body.answer_within_ms)) + SILENCE_LIMIT;
-        let request = |call| PeerRequest::Execute { call, body: Box::new(body) };
+        let limit = Duration::from_millis(u64::from(body.answer_timeout_ms)) + SILENCE_LIMIT;
+        let request = |call| PeerRequest::Execute { call_id: call, body: Box::new(body) };
         let reply = self.ask(|pending| &mut pending.execute, limit, request).await;
-        let lost = ExecuteReply { outcome: ExecuteOutcome::Lost, queue_ms: 0, mark: None };
+        let lost =
+            ExecuteReply { outcome: ExecuteOutcome::Lost, queue_wait_ms: 0, watermark: None };
         reply.unwrap_or(lost)
     }
 
     /// Ends a transaction whose connection the other instance holds.
     pub fn release(&self, channel: u32) {
-        self.send(&PeerRequest::Release { channel });
+        self.send(&PeerRequest::Release { transaction_id: channel });
     }
 
     /// Asks whether an operation of a team may start; none without an answer in time.
     pub async fn count(
         &self,
         team: &str,
-        level: UrgencyLevel,
+        priority: UrgencyLevel,
         patience: Duration,
         limit: Duration,
-    ) -> Option<CountAnswer> {
-        let (team, patience_ms) = (team.to_owned(), millis(patience));
-        let request = |call| PeerRequest::Count { call, team, level, patience_ms };
+    ) -> Option<AdmissionDecision> {
+        let (team, max_wait_ms) = (team.to_owned(), millis(patience));
+        let request = |call_id| PeerRequest::Admit { call_id, team, priority, max_wait_ms };
         self.ask(|pending| &mut pending.count, limit, request).await
     }
 
     /// Asks whether the other instance reaches an endpoint; none without an answer in time.
     pub async fn probe(&self, endpoint: &str, limit: Duration) -> Option<bool> {
-        let request = |call| PeerRequest::Probe { call, endpoint: endpoint.to_owned() };
+        let request = |call| PeerRequest::Probe { call_id: call, endpoint: endpoint.to_owned() };
         self.ask(|pending| &mut pending.probe, limit, request).await
     }
 
@@ -216,7 +217,7 @@
         table: WatchedTable,
         limit: Duration,
     ) -> Option<(Vec<StoredRow>, u64)> {
-        let request = |call| PeerRequest::Table { call, table };
+        let request = |call| PeerRequest::Table { call_id: call, table };
         self.ask(|pending| &mut pending.table, limit, request).await
     }
 
@@ -246,23 +247,23 @@
     pub(crate) fn take_reply(&self, reply: PeerReply) {
         let mut pending = self.pending.borrow_mut();
         match reply {
-            PeerReply::Pong { version, status, .. } => {
+            PeerReply::Pong { status_version: version, status, .. } => {
                 if let Some(status) = status {
                     self.status_version.set(version);
                     *self.status.borrow_mut() = *status;
                 }
             }
-            PeerReply::Execute { call, body } => {
-                answer(&mut pending.execute, call, *body);
+            PeerReply::Execute { call_id, body } => {
+                answer(&mut pending.execute, call_id, *body);
             }
-            PeerReply::Count { call, answer: counted } => {
-                answer(&mut pending.count, call, counted);
+            PeerReply::Admit { call_id, decision: counted } => {
+                answer(&mut pending.count, call_id, counted);
             }
-            PeerReply::Probe { call, reached } => {
-                answer(&mut pending.probe, call, reached);
+            PeerReply::Probe { call_id, reached } => {
+                answer(&mut pending.probe, call_id, reached);
             }
-            PeerReply::Table { call, rows, version } => {
-                answer(&mut pending.table, call, (rows, version));
+            PeerReply::Table { call_id, rows, version } => {
+                answer(&mut pending.table, call_id, (rows, version));
             }
         }
     }
@@ -277,8 +278,8 @@
 }
 
 fn not_held() -> ExecuteReply {
-    let outcome = ExecuteOutcome::NotSent { reason: HoldReason::NoHolder, retry_ms: 0 };
-    ExecuteReply { outcome, queue_ms: 0, mark: None }
+    let outcome = ExecuteOutcome::NotSent { reason: NotSentReason::NoOwner, retry_ms: 0 };
+    ExecuteReply { outcome, queue_wait_ms: 0, watermark: None }
 }
 
 /// Ends a connection; whoever waits on it learns that the answer is lost.
--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -22,7 +22,7 @@
     /// Version; zero before the first document.
     pub version: u64,
     /// Time for which an open transaction may rest.
-    pub transaction_idle: Option<Duration>,
+    pub transaction_idle_timeout: Option<Duration>,
     routes: HashMap<String, Rc<RouteRecord>>,
     services: HashMap<String, ServiceRecord>,
     teams_by_key: HashMap<String, Rc<str>>,
@@ -39,12 +39,12 @@
             teams_by_key.extend(team.keys.into_iter().map(|key| (key, name.clone())));
             limits.insert(team.name, team.limit);
         }
-        let levels = document.routes.iter().map(|route| route.level).collect();
+        let levels = document.routes.iter().map(|route| route.priority).collect();
         let routes = document.routes.into_iter();
         let services = document.services.into_iter();
         Self {
             version: document.version,
-            transaction_idle: document.transaction_idle,
+            transaction_idle_timeout: document.transaction_idle_timeout,
             routes: routes.map(|route| (route.database.clone(), Rc::new(route))).collect(),
             services: services.map(|service| (service.name.clone(), service)).collect(),
             teams_by_key,
@@ -59,17 +59,17 @@
     }
 
     /// Returns the team that holds a key.
-    pub fn team_of(&self, key: &str) -> Option<Rc<str>> {
+    pub fn team_by_key(&self, key: &str) -> Option<Rc<str>> {
         self.teams_by_key.get(key).cloned()
     }
 
     /// Returns the limit of a team; none if it has none.
-    pub fn limit(&self, team: &str) -> Option<TeamLimit> {
+    pub fn team_limit(&self, team: &str) -> Option<TeamLimit> {
         self.limits.get(team).copied().flatten()
     }
 
     /// Returns how many urgencies above `level` the routes have.
-    pub fn rank(&self, level: UrgencyLevel) -> usize {
+    pub fn priority_rank(&self, level: UrgencyLevel) -> usize {
         self.levels.iter().filter(|other| **other < level).count()
     }
 
@@ -92,9 +92,9 @@
     /// Observations.
     pub view: EndpointView,
     /// Time at which its registration vanished.
-    pub gone_at: Option<Instant>,
+    pub unregistered_at: Option<Instant>,
     /// Time at which it announced that it leaves.
-    pub leaving_at: Option<Instant>,
+    pub leaving_since: Option<Instant>,
 }
 
 impl EndpointEntry {
@@ -103,12 +103,12 @@
         let past = |at: Option<Instant>, limit: Duration| {
             at.is_some_and(|at| now.saturating_duration_since(at) >= limit)
         };
-        !past(self.gone_at, GONE_GRACE) && !past(self.leaving_at, drain_limit)
+        !past(self.unregistered_at, GONE_GRACE) && !past(self.leaving_since, drain_limit)
     }
 
     /// Tells whether it is registered and does not leave.
-    pub fn stays(&self) -> bool {
-        self.gone_at.is_none() && !self.record.leaving
+    pub fn is_active(&self) -> bool {
+        self.unregistered_at.is_none() && !self.record.leaving
     }
 }
 
@@ -143,7 +143,7 @@
     }
 
     /// Changes the time after which a leaving endpoint gets no new work.
-    pub fn set_drain_limit(&mut self, drain_limit: Duration) {
+    pub fn set_drain_timeout(&mut self, drain_limit: Duration) {
         self.drain_limit = drain_limit;
     }
 
@@ -153,12 +153,12 @@
     }
 
     /// Tells whether document and endpoints were read.
-    pub fn is_complete(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.document.version > 0 && self.endpoints_read
     }
 
     /// Records that the table of endpoints was read in full.
-    pub fn note_endpoints_read(&mut self) {
+    pub fn set_endpoints_loaded(&mut self) {
         self.endpoints_read = true;
     }
 
@@ -174,15 +174,15 @@
     /// Records a registration; tells whether anything but observations changed.
     pub fn apply_endpoint(&mut self, record: EndpointRecord, now: Instant) -> bool {
         let known = self.endpoints.get(&record.name);
-        if known.is_some_and(|entry| entry.record == record && entry.gone_at.is_none()) {
+        if known.is_some_and(|entry| entry.record == record && entry.unregistered_at.is_none()) {
             return false;
         }
-        let reborn = known.is_none_or(|entry| entry.record.born_ms != record.born_ms);
+        let reborn = known.is_none_or(|entry| entry.record.started_ms != record.started_ms);
         let view = match known {
             Some(entry) if !reborn => entry.view,
             _ => EndpointView::default(),
         };
-        let leaving_at = match known.and_then(|entry| entry.leaving_at) {
+        let leaving_at = match known.and_then(|entry| entry.leaving_since) {
             Some(at) if record.leaving && !reborn => Some(at),
             _ => record.leaving.then_some(now),
         };
@@ -190,25 +190,28 @@
         if !service.members.contains(&record.name) {
             service.members.push(record.name.clone());
         }
-        let entry = EndpointEntry { view, gone_at: None, leaving_at, record };
+        let entry =
+            EndpointEntry { view, unregistered_at: None, leaving_since: leaving_at, record };
         self.endpoints.insert(entry.record.name.clone(), entry);
         true
     }
 
     /// Records that a registration vanished; tells whether it was known.
-    pub fn remove_endpoint(&mut self, name: &str, now: Instant) -> bool {
+    pub fn unregister_endpoint(&mut self, name: &str, now: Instant) -> bool {
         let Some(entry) = self.endpoints.get_mut(name) else {
             return false;
         };
-        let first = entry.gone_at.is_none();
-        entry.gone_at = entry.gone_at.or(Some(now));
+        let first = entry.unregistered_at.is_none();
+        entry.unregistered_at = entry.unregistered_at.or(Some(now));
         first
     }
 
     /// Forgets endpoints whose registration vanished a while ago, and returns their names.
-    pub fn forget_gone(&mut self, now: Instant) -> Vec<String> {
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<String> {
         let is_past = |entry: &EndpointEntry| {
-            entry.gone_at.is_some_and(|at| now.saturating_duration_since(at) > 4 * GONE_GRACE)
+            entry
+                .unregistered_at
+                .is_some_and(|at| now.saturating_duration_since(at) > 4 * GONE_GRACE)
         };
         let past = self.endpoints.iter().filter(|(_, entry)| is_past(entry));
         let names: Vec<String> = past.map(|(name, _)| name.clone()).collect();
@@ -232,25 +235,25 @@
     }
 
     /// Changes what was observed of an endpoint.
-    pub fn observe(&mut self, name: &str, change: impl FnOnce(&mut EndpointView)) {
+    pub fn update_view(&mut self, name: &str, change: impl FnOnce(&mut EndpointView)) {
         if let Some(entry) = self.endpoints.get_mut(name) {
             change(&mut entry.view);
         }
     }
 
     /// Records a position proved by the leader of a service; true if the leader is new.
-    pub fn note_leader(&mut self, endpoint: &str, mark: ProvedMark) -> bool {
+    pub fn record_leader_watermark(&mut self, endpoint: &str, mark: ProvedMark) -> bool {
         let Some(entry) = self.endpoints.get_mut(endpoint) else {
             return false;
         };
         entry.view.followed_at = None;
         let service = entry.record.service.clone();
         self.services.entry(service.clone()).or_default().marks.record(mark);
-        self.hear_leader(&service, endpoint, mark.position.term)
+        self.record_leader(&service, endpoint, mark.position.term)
     }
 
     /// Records which endpoint leads a service in a term; true if that is news.
-    pub fn hear_leader(&mut self, service: &str, endpoint: &str, term: u64) -> bool {
+    pub fn record_leader(&mut self, service: &str, endpoint: &str, term: u64) -> bool {
         let knowledge = self.services.entry(service.to_owned()).or_default();
         let known = knowledge.leader.as_ref();
         if known.is_some_and(|(_, known_term)| *known_term >= term) {
@@ -261,12 +264,12 @@
     }
 
     /// Records a mark that another instance passed on.
-    pub fn note_mark(&mut self, service: &str, mark: ProvedMark) {
+    pub fn record_watermark(&mut self, service: &str, mark: ProvedMark) {
         self.services.entry(service.to_owned()).or_default().marks.record(mark);
     }
 
     /// Returns the marks of a service.
-    pub fn marks(&self, service: &str) -> Option<&MarkRing> {
+    pub fn watermarks(&self, service: &str) -> Option<&MarkRing> {
         self.services.get(service).map(|knowledge| &knowledge.marks)
     }
 
@@ -296,7 +299,7 @@
     ///
     /// Others than those known or registered to lead are tried only if all of these say that they
     /// do not lead: a leader that cannot be reached is still the only one that may take a write.
-    pub fn order_for_write(&self, service: &str, now: Instant) -> Vec<String> {
+    pub fn write_candidates(&self, service: &str, now: Instant) -> Vec<String> {
         let usable = |name: &&String| self.endpoints[*name].is_usable(self.drain_limit, now);
         let claims: Vec<&String> =
             self.order_of_claims(service, now).into_iter().filter(usable).collect();
@@ -311,7 +314,7 @@
                 .collect();
             others.sort_by_key(|name| {
                 let entry = &self.endpoints[*name];
-                (entry.view.is_follower(now), !entry.stays(), entry.view.is_avoided(now))
+                (entry.view.is_follower(now), !entry.is_active(), entry.view.is_avoided(now))
             });
             order.extend(others.into_iter().cloned());
         }
@@ -337,7 +340,7 @@
     }
 
     /// Returns the endpoints to try for a read, best first, each with whether it leads.
-    pub fn order_for_read(
+    pub fn read_candidates(
         &self,
         service: &str,
         zone: &str,
@@ -348,7 +351,7 @@
         let leads = |name: &String| leader.as_ref() == Some(name);
         let serves = |name: &&String| {
             let entry = &self.endpoints[*name];
-            entry.is_usable(self.drain_limit, now) && (entry.stays() || leads(name))
+            entry.is_usable(self.drain_limit, now) && (entry.is_active() || leads(name))
         };
         let members: Vec<&String> = self.members(service).iter().filter(serves).collect();
         let candidate = |name: &&String| {
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -7,9 +7,9 @@
 use telemetry::event::LogEvent;
 use telemetry::log_event;
 
-use crate::link::RefusalCode;
+use crate::interface::RefusalCode;
 use crate::message::{
-    ExecuteCall, ExecuteOutcome, ExecuteReply, HoldReason, StatementAnswer, millis,
+    ExecuteCall, ExecuteOutcome, ExecuteReply, NotSentReason, StatementAnswer, millis,
 };
 use crate::node::{EngineEdge, GatewayNode};
 
@@ -36,20 +36,20 @@
         deadline: Instant,
     ) -> HeldReply {
         let mut last = None;
-        for holder in self.holders_of(&call.endpoint).into_iter().take(TRIED_HOLDERS) {
+        for holder in self.connection_owners(&call.endpoint).into_iter().take(TRIED_HOLDERS) {
             let now = self.now();
             if last.is_some() && now >= latest_start {
                 break;
             }
-            call.start_within_ms = millis(latest_start.saturating_duration_since(now)).max(1);
-            call.answer_within_ms = millis(deadline.saturating_duration_since(now)).max(1);
+            call.start_timeout_ms = millis(latest_start.saturating_duration_since(now)).max(1);
+            call.answer_timeout_ms = millis(deadline.saturating_duration_since(now)).max(1);
             let reply = self.dispatch_to(&holder, call.clone()).await;
             let goes_on = matches!(
                 reply.outcome,
                 ExecuteOutcome::NotSent {
-                    reason: HoldReason::Unreachable
-                        | HoldReason::NoHolder
-                        | HoldReason::UnknownEndpoint,
+                    reason: NotSentReason::Unreachable
+                        | NotSentReason::NoOwner
+                        | NotSentReason::UnknownEndpoint,
                     ..
                 }
             );
@@ -60,8 +60,8 @@
             last = Some(held);
         }
         last.unwrap_or_else(|| {
-            let outcome = ExecuteOutcome::NotSent { reason: HoldReason::NoHolder, retry_ms: 0 };
-            let reply = ExecuteReply { outcome, queue_ms: 0, mark: None };
+            let outcome = ExecuteOutcome::NotSent { reason: NotSentReason::NoOwner, retry_ms: 0 };
+            let reply = ExecuteReply { outcome, queue_wait_ms: 0, watermark: None };
             HeldReply { holder: self.name().to_owned(), reply }
         })
     }
@@ -75,13 +75,13 @@
             return reply;
         }
         let Some(link) = self.peers.link(holder) else {
-            let outcome = ExecuteOutcome::NotSent { reason: HoldReason::NoHolder, retry_ms: 0 };
-            return ExecuteReply { outcome, queue_ms: 0, mark: None };
+            let outcome = ExecuteOutcome::NotSent { reason: NotSentReason::NoOwner, retry_ms: 0 };
+            return ExecuteReply { outcome, queue_wait_ms: 0, watermark: None };
         };
         let sent_at = self.now();
         let reply = link.execute(call).await;
         self.learn_queue(&endpoint, &reply);
-        let Some((position, age_ms)) = reply.mark else {
+        let Some((position, age_ms)) = reply.watermark else {
             return reply;
         };
         // Counted from before the question, the age is an upper bound however long the way took.
@@ -89,7 +89,7 @@
             let mut directory = self.directory.borrow_mut();
             let service = directory.endpoint(&endpoint).map(|entry| entry.record.service.clone());
             if let Some(service) = service {
-                directory.note_mark(&service, ProvedMark { asked_at, position });
+                directory.record_watermark(&service, ProvedMark { asked_at, position });
             }
         }
         reply
@@ -108,8 +108,8 @@
     fn learn_queue(&self, endpoint: &str, reply: &ExecuteReply) {
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
-        directory.observe(endpoint, |view| {
-            view.queue = Some((Duration::from_millis(reply.queue_ms.into()), now));
+        directory.update_view(endpoint, |view| {
+            view.queue = Some((Duration::from_millis(reply.queue_wait_ms.into()), now));
             match &reply.outcome {
                 ExecuteOutcome::Answered(answers) => {
                     view.failed_at = None;
@@ -119,7 +119,7 @@
                     }
                 }
                 ExecuteOutcome::Lost
-                | ExecuteOutcome::NotSent { reason: HoldReason::Unreachable, .. } => {
+                | ExecuteOutcome::NotSent { reason: NotSentReason::Unreachable, .. } => {
                     view.failed_at = Some(now);
                 }
                 ExecuteOutcome::NotSent { .. } => {}
@@ -134,7 +134,7 @@
         match (proof.error, proof.position) {
             (None, Some(position)) => {
                 let mark = ProvedMark { asked_at: sent_at, position };
-                if directory.note_leader(endpoint, mark) {
+                if directory.record_leader_watermark(endpoint, mark) {
                     log_event!(
                         LogEvent::PrimaryChanged,
                         "endpoint={endpoint} term={} source=proof",
@@ -143,7 +143,7 @@
                 }
             }
             (Some(RefusalCode::ReadOnly), _) => {
-                directory.observe(endpoint, |view| view.followed_at = Some(now));
+                directory.update_view(endpoint, |view| view.followed_at = Some(now));
             }
             _ => {}
         }
--- a/crates/engine/src/steward.rs
+++ b/crates/engine/src/failover.rs
@@ -12,9 +12,9 @@
 use telemetry::{log_event, meter};
 use tokio::time::sleep;
 
-use crate::link::{LeaseWrite, PlatformLink, PromotionAnswer};
+use crate::interface::{LeaseWrite, PlatformApi, PromotionAnswer};
 use crate::node::{EngineEdge, GatewayNode};
-use crate::record::DutyLease;
+use crate::record::PromotionLease;
 
 /// Time between looks at leaders and lease.
 const TICK: Duration = Duration::from_millis(100);
@@ -42,7 +42,7 @@
 /// Lease as this instance holds it.
 #[derive(Debug, Default)]
 struct HeldLease {
-    lease: DutyLease,
+    lease: PromotionLease,
     version: u64,
     /// Local time up to which the lease provably runs.
     runs_until: Option<Instant>,
@@ -53,7 +53,7 @@
 
 impl<E: EngineEdge> GatewayNode<E> {
     /// Keeps the duty filled and carries it out while this instance has it.
-    pub async fn serve_duty(self: Rc<Self>) {
+    pub async fn coordinate_failover(self: Rc<Self>) {
         let held = Rc::new(RefCell::new(HeldLease::default()));
         let mut vacant_since = None;
         let mut machines: HashMap<String, Rc<RefCell<TakeoverMachine>>> = HashMap::new();
@@ -63,7 +63,7 @@
                 self.give_up_duty(&held).await;
                 return;
             }
-            if !self.directory.borrow().is_complete() {
+            if !self.directory.borrow().is_loaded() {
                 continue;
             }
             self.keep_lease(&held, &mut vacant_since).await;
@@ -107,9 +107,10 @@
         }
         let peers = self.peers.live();
         let own_token = held.borrow().lease.token;
-        let filled =
-            peers.iter().any(|peer| peer.status().duty.is_some_and(|token| token > own_token));
-        let names = self.peers.staying(false);
+        let filled = peers
+            .iter()
+            .any(|peer| peer.status().promotion_token.is_some_and(|token| token > own_token));
+        let names = self.peers.active_names(false);
         let rank = rendezvous::rank(DUTY_SUBJECT, self.name(), names.iter().map(String::as_str));
         if filled || rank > 0 {
             *vacant_since = None;
@@ -163,7 +164,7 @@
     ) {
         let asked_at = self.now();
         held.borrow_mut().tried_at = Some(asked_at);
-        let lease = DutyLease {
+        let lease = PromotionLease {
             holder: self.name().to_owned(),
             incarnation: self.settings.record.incarnation,
             token,
@@ -191,7 +192,7 @@
     /// Gives the duty up if another instance that reaches the store may have taken it.
     fn check_lapsed(&self, held: &RefCell<HeldLease>) {
         let lapsed = held.borrow().runs_until.is_none_or(|until| self.now() > until);
-        let replaced = self.peers.live().iter().any(|peer| peer.status().store_reached);
+        let replaced = self.peers.live().iter().any(|peer| peer.status().store_reachable);
         if lapsed && replaced {
             self.lose_duty(held, "the lease ran out");
         }
@@ -213,7 +214,7 @@
         self.set_duty(None);
         let (version, lease) = {
             let held = held.borrow();
-            (held.version, DutyLease { ends_ms: 0, ..held.lease.clone() })
+            (held.version, PromotionLease { ends_ms: 0, ..held.lease.clone() })
         };
         if let Err(error) = self.platform.write_lease(version, &lease).await {
             log_event!(LogEvent::DutyRefused, "step=release cause=\"{error}\"");
@@ -230,11 +231,15 @@
         let suspected = match directory.leader(service, now) {
             None => true,
             Some(leader) => {
-                let stays = directory.endpoint(&leader).is_some_and(|entry| entry.stays());
+                let stays = directory.endpoint(&leader).is_some_and(|entry| entry.is_active());
                 let failing = |since: Instant| now.saturating_duration_since(since) >= FAILING_TIME;
                 !stays
                     || self.holder.failing_since(&leader).is_some_and(failing)
-                    || self.peers.live().iter().any(|peer| peer.status().failing.contains(&leader))
+                    || self
+                        .peers
+                        .live()
+                        .iter()
+                        .any(|peer| peer.status().unreachable_endpoints.contains(&leader))
             }
         };
         machine.borrow().wants_probe(suspected, now)
@@ -271,7 +276,7 @@
         let step = {
             let directory = self.directory.borrow();
             let outlook = |(name, report): (&String, &Option<MemberReport>)| {
-                let stays = directory.endpoint(name).is_some_and(|entry| entry.stays());
+                let stays = directory.endpoint(name).is_some_and(|entry| entry.is_active());
                 (name.clone(), stays, *report)
             };
             let outlooks: Vec<_> = members.iter().zip(&reports).map(outlook).collect();
@@ -316,7 +321,7 @@
         let (term, name) = leading.max()?;
         let mut directory = self.directory.borrow_mut();
         let service = directory.endpoint(name)?.record.service.clone();
-        directory.hear_leader(&service, name, term);
+        directory.record_leader(&service, name, term);
         Some(name.clone())
     }
 
--- a/crates/engine/src/holder.rs
+++ b/crates/engine/src/holder.rs
@@ -20,10 +20,10 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{sleep, timeout};
 
-use crate::link::{ControlStatement, RefusalCode, WireCodec};
+use crate::interface::{ControlStatement, RefusalCode, WireCodec};
 use crate::member::{CONNECT_TIMEOUT, MemberConnection, MemberError, OPEN_TIMEOUT};
 use crate::message::{
-    ExecuteCall, ExecuteOutcome, ExecuteReply, HoldReason, StatementAnswer, millis,
+    ExecuteCall, ExecuteOutcome, ExecuteReply, NotSentReason, StatementAnswer, millis,
 };
 use crate::node::{EngineEdge, GatewayNode};
 use crate::pool::{
@@ -110,17 +110,17 @@
         call: ExecuteCall,
     ) -> ExecuteReply {
         let Some(pool) = self.pool(&call.endpoint) else {
-            return refused(HoldReason::UnknownEndpoint, 0);
+            return refused(NotSentReason::UnknownEndpoint, 0);
         };
         let outcome = self.execute_at(&pool, origin, &call).await;
         let now = self.now();
-        let queue_wait = pool.queue.borrow().expected_wait(call.level);
+        let queue_wait = pool.queue.borrow().expected_wait(call.priority);
         let directory = self.directory.borrow();
-        let newest = directory.marks(&pool.service).and_then(|marks| marks.newest());
+        let newest = directory.watermarks(&pool.service).and_then(|marks| marks.newest());
         let age = |mark: ProvedMark| {
             (mark.position, millis(now.saturating_duration_since(mark.asked_at)) + 1)
         };
-        ExecuteReply { outcome, queue_ms: millis(queue_wait), mark: newest.map(age) }
+        ExecuteReply { outcome, queue_wait_ms: millis(queue_wait), watermark: newest.map(age) }
     }
 
     /// Rolls a transaction back and frees its connection.
@@ -173,10 +173,16 @@
                 self.probe_endpoint(&pool);
             }
             self.resize_pool(&pool);
-            let entry_born =
-                self.directory.borrow().endpoint(&pool.endpoint).map(|entry| entry.record.born_ms);
+            let entry_born = self
+                .directory
+                .borrow()
+                .endpoint(&pool.endpoint)
+                .map(|entry| entry.record.started_ms);
             let held_here = entry_born.is_some()
-                && self.holders_of(&pool.endpoint).first().is_some_and(|name| name == self.name());
+                && self
+                    .connection_owners(&pool.endpoint)
+                    .first()
+                    .is_some_and(|name| name == self.name());
             let newest = newest_of_teams(&pool);
             let mut closed = Vec::new();
             pool.idle.borrow_mut().retain_mut(|idle| {
@@ -215,7 +221,7 @@
         let document = directory.document();
         let reach = self.counters.borrow().reach();
         if let Some(service) = document.service(&pool.service) {
-            pool.limit.set(connection_limit(service.connections, reach));
+            pool.limit.set(connection_limit(service.max_connections, reach));
         }
         if let Some(entry) = directory.endpoint(&pool.endpoint) {
             pool.queue.borrow_mut().resize(entry.record.slots.max(1) + SPARE_PERMITS);
@@ -227,7 +233,8 @@
         let directory = self.directory.borrow();
         let entry = directory.endpoint(endpoint)?;
         let mut pools = self.holder.pools.borrow_mut();
-        if let Some(pool) = pools.get(endpoint).filter(|pool| pool.born_ms == entry.record.born_ms)
+        if let Some(pool) =
+            pools.get(endpoint).filter(|pool| pool.born_ms == entry.record.started_ms)
         {
             return Some(pool.clone());
         }
@@ -235,7 +242,7 @@
             endpoint: endpoint.to_owned(),
             service: entry.record.service.clone(),
             address: entry.record.address,
-            born_ms: entry.record.born_ms,
+            born_ms: entry.record.started_ms,
             queue: RefCell::new(UrgencyQueue::new(1)),
             idle: RefCell::default(),
             open: Cell::new(0),
@@ -259,35 +266,35 @@
         call: &ExecuteCall,
     ) -> ExecuteOutcome {
         let begun_at = self.now();
-        let deadline = begun_at + Duration::from_millis(call.answer_within_ms.into());
+        let deadline = begun_at + Duration::from_millis(call.answer_timeout_ms.into());
         let permit = if call.pinned {
             pool.queue.borrow_mut().take_pinned();
-            self.permit(pool, call.level, team_number(&call.team))
+            self.permit(pool, call.priority, team_number(&call.team))
         } else {
             if pool.is_shunned(begun_at) {
-                return not_sent(HoldReason::Unreachable, RETRY_PAUSE);
+                return not_sent(NotSentReason::Unreachable, RETRY_PAUSE);
             }
             match self.wait_for_permit(pool, call, begun_at).await {
                 Ok(permit) => permit,
-                Err(retry) => return not_sent(HoldReason::Queue, retry),
+                Err(retry) => return not_sent(NotSentReason::QueueDelay, retry),
             }
         };
         let mut connection = if call.pinned {
-            let taken = self.holder.pinned.borrow_mut().remove(&(origin, call.channel));
+            let taken = self.holder.pinned.borrow_mut().remove(&(origin, call.transaction_id));
             match taken {
                 Some(pinned) => pinned.connection,
-                None => return not_sent(HoldReason::PinLost, Duration::ZERO),
+                None => return not_sent(NotSentReason::PinLost, Duration::ZERO),
             }
         } else {
-            let latest = begun_at + Duration::from_millis(call.start_within_ms.into());
+            let latest = begun_at + Duration::from_millis(call.start_timeout_ms.into());
             match self.take_connection(pool, call, latest).await {
                 Ok(connection) => connection,
                 Err(TakeError::Unreachable) => {
-                    return not_sent(HoldReason::Unreachable, RETRY_PAUSE);
+                    return not_sent(NotSentReason::Unreachable, RETRY_PAUSE);
                 }
                 Err(TakeError::Full) => {
                     let retry = pool.queue.borrow().expected_turn(permit.level, permit.team);
-                    return not_sent(HoldReason::Connections, retry);
+                    return not_sent(NotSentReason::NoConnection, retry);
                 }
             }
         };
@@ -318,11 +325,11 @@
         call: &ExecuteCall,
         now: Instant,
     ) -> Result<RunPermit, Duration> {
-        let (level, team) = (call.level, team_number(&call.team));
+        let (level, team) = (call.priority, team_number(&call.team));
         if pool.queue.borrow_mut().try_take(level) {
             return Ok(self.permit(pool, level, team));
         }
-        let wait = Duration::from_millis(call.start_within_ms.into());
+        let wait = Duration::from_millis(call.start_timeout_ms.into());
         let (sender, mut receiver) = oneshot::channel();
         let pushed = pool.queue.borrow_mut().push(level, team, sender, now + wait, now);
         let expected = |pool: &EndpointPool| pool.queue.borrow().expected_turn(level, team);
@@ -352,7 +359,7 @@
             let now = self.now();
             if let Some(idle) = take_idle(pool, &call.team) {
                 let rested = now.saturating_duration_since(idle.idle_since);
-                if rested < PROOF_AGE || call.repeatable {
+                if rested < PROOF_AGE || call.retryable {
                     return Ok(idle.connection);
                 }
                 match self.prove(idle.connection).await {
@@ -438,18 +445,18 @@
         connection: &mut MemberConnection,
         call: &ExecuteCall,
     ) -> Option<Vec<StatementAnswer>> {
-        let prepares = call.pinned || connection.setup != call.setup;
+        let prepares = call.pinned || connection.setup != call.setup_id;
         let skipped = if prepares { call.setup_count } else { 0 };
         let setup_bytes = if skipped > 0 { call.setup_bytes.as_slice() } else { &[] };
-        let gated = !call.opening.is_empty();
-        let first = if gated { &call.opening } else { &call.bytes };
+        let gated = !call.begin_bytes.is_empty();
+        let first = if gated { &call.begin_bytes } else { &call.bytes };
         if setup_bytes.is_empty() {
             connection.send(first).await.ok()?;
         } else {
             connection.send(&[setup_bytes, first].concat()).await.ok()?;
         }
         if !call.pinned {
-            connection.setup = call.setup;
+            connection.setup = call.setup_id;
         }
         for _ in 0..skipped {
             let answer = self.watched_answer(pool, connection, call).await?;
@@ -493,7 +500,7 @@
                     return Some(answer);
                 }
                 () = sleep(SILENCE_TIME) => {
-                    if call.repeatable && pool.failing_since.get().is_some() {
+                    if call.retryable && pool.failing_since.get().is_some() {
                         return None;
                     }
                     self.probe_silent(pool);
@@ -542,15 +549,16 @@
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
         if let Some(position) = answers.iter().rev().find_map(|answer| answer.position) {
-            directory.observe(&pool.endpoint, |view| view.position = Some((position, now)));
+            directory.update_view(&pool.endpoint, |view| view.position = Some((position, now)));
         }
-        let Some(proof) = call.proof.and_then(|index| answers.get(usize::from(index))) else {
+        let Some(proof) = call.confirming_answer.and_then(|index| answers.get(usize::from(index)))
+        else {
             return;
         };
         match (proof.error, proof.position) {
             (None, Some(position)) => {
                 let mark = ProvedMark { asked_at, position };
-                if directory.note_leader(&pool.endpoint, mark) {
+                if directory.record_leader_watermark(&pool.endpoint, mark) {
                     self.announced.notify_waiters();
                     log_event!(
                         LogEvent::PrimaryChanged,
@@ -562,7 +570,7 @@
                 }
             }
             (Some(RefusalCode::ReadOnly), _) => {
-                directory.observe(&pool.endpoint, |view| view.followed_at = Some(now));
+                directory.update_view(&pool.endpoint, |view| view.followed_at = Some(now));
             }
             _ => {}
         }
@@ -581,10 +589,10 @@
         let pinned = PinnedConnection { pool: pool.clone(), team: call.team.clone(), connection };
         // A refused statement may leave the transaction open, but its caller gives it up.
         let failed = answers.iter().any(|answer| answer.error.is_some());
-        let kept = call.keeps && !failed && self.holder.is_open(origin);
+        let kept = call.keep_pinned && !failed && self.holder.is_open(origin);
         match state {
             BlockState::Open if kept => {
-                self.holder.pinned.borrow_mut().insert((origin, call.channel), pinned);
+                self.holder.pinned.borrow_mut().insert((origin, call.transaction_id), pinned);
             }
             BlockState::Idle => self.rest(pinned),
             BlockState::Open | BlockState::Failed => self.roll_back(pinned),
@@ -631,10 +639,14 @@
     rendezvous::weight(team, "")
 }
 
-fn refused(reason: HoldReason, queue_ms: u32) -> ExecuteReply {
-    ExecuteReply { outcome: not_sent(reason, Duration::ZERO), queue_ms, mark: None }
+fn refused(reason: NotSentReason, queue_ms: u32) -> ExecuteReply {
+    ExecuteReply {
+        outcome: not_sent(reason, Duration::ZERO),
+        queue_wait_ms: queue_ms,
+        watermark: None,
+    }
 }
 
-fn not_sent(reason: HoldReason, retry: Duration) -> ExecuteOutcome {
+fn not_sent(reason: NotSentReason, retry: Duration) -> ExecuteOutcome {
     ExecuteOutcome::NotSent { reason, retry_ms: millis(retry) }
 }
--- a/crates/engine/src/link.rs
+++ b/crates/engine/src/interface.rs
@@ -8,12 +8,12 @@
 use snafu::Snafu;
 use state::position::LogPosition;
 
-use crate::record::{DutyLease, EndpointRecord, FleetDocument, InstanceRecord};
+use crate::record::{EndpointRecord, FleetDocument, InstanceRecord, PromotionLease};
 use crate::tables::StoredRow;
 
 /// Failure of a call to the platform.
 #[derive(Debug, Snafu)]
-pub enum LinkError {
+pub enum PlatformError {
     /// No usable answer came; the call may have been carried out.
     #[snafu(display("no answer: {reason}"))]
     NoAnswer {
@@ -28,10 +28,10 @@
     },
     /// The history that was asked for is gone.
     #[snafu(display("history is gone"))]
-    HistoryGone,
+    HistoryExpired,
     /// The answer cannot be read.
     #[snafu(display("answer cannot be read: {reason}"))]
-    Unreadable {
+    Malformed {
         /// What is wrong with it.
         reason: String,
     },
@@ -57,11 +57,11 @@
     /// A document came into force.
     Document(FleetDocument),
     /// The document's row cannot be read; the one in force stays.
-    DocumentUnreadable(String),
+    DocumentInvalid(String),
     /// An endpoint is registered.
     Endpoint(EndpointRecord),
     /// The row of this name names no usable endpoint.
-    EndpointGone {
+    EndpointRemoved {
         /// Name of the row.
         name: String,
         /// Why a row that exists cannot be used; none if it does not exist.
@@ -80,9 +80,9 @@
 
 /// Lease as read, with its version and the store's time.
 #[derive(Clone, Debug)]
-pub struct LeaseView {
+pub struct LeaseSnapshot {
     /// Lease; none if it was never taken.
-    pub lease: Option<DutyLease>,
+    pub lease: Option<PromotionLease>,
     /// Version of the row; zero if it does not exist.
     pub version: u64,
     /// Store's time in milliseconds.
@@ -113,41 +113,43 @@
 }
 
 /// Services of the platform.
-pub trait PlatformLink: 'static {
+pub trait PlatformApi: 'static {
     /// Reads a table in full.
-    fn read_table(&self, table: WatchedTable)
-    -> impl Future<Output = Result<TableRows, LinkError>>;
+    fn read_table(
+        &self,
+        table: WatchedTable,
+    ) -> impl Future<Output = Result<TableRows, PlatformError>>;
 
     /// Lets the store wait up to `wait` for changes after `version`; gives up after `limit`.
-    fn follow_table(
+    fn poll_changes(
         &self,
         table: WatchedTable,
         version: u64,
         wait: Duration,
         limit: Duration,
-    ) -> impl Future<Output = Result<TableRows, LinkError>>;
+    ) -> impl Future<Output = Result<TableRows, PlatformError>>;
 
     /// Reads the registered instances.
-    fn read_instances(&self) -> impl Future<Output = Result<Vec<InstanceRecord>, LinkError>>;
+    fn read_instances(&self) -> impl Future<Output = Result<Vec<InstanceRecord>, PlatformError>>;
 
     /// Registers an instance.
-    fn write_instance(
+    fn register_instance(
         &self,
         record: &InstanceRecord,
-    ) -> impl Future<Output = Result<(), LinkError>>;
+    ) -> impl Future<Output = Result<(), PlatformError>>;
 
     /// Removes the registration of an instance.
-    fn remove_instance(&self, name: &str) -> impl Future<Output = Result<(), LinkError>>;
+    fn unregister_instance(&self, name: &str) -> impl Future<Output = Result<(), PlatformError>>;
 
     /// Reads the lease of the promotion duty.
-    fn read_lease(&self) -> impl Future<Output = Result<LeaseView, LinkError>>;
+    fn read_lease(&self) -> impl Future<Output = Result<LeaseSnapshot, PlatformError>>;
 
     /// Writes the lease if its row still has `version`.
     fn write_lease(
         &self,
         version: u64,
-        lease: &DutyLease,
-    ) -> impl Future<Output = Result<LeaseWrite, LinkError>>;
+        lease: &PromotionLease,
+    ) -> impl Future<Output = Result<LeaseWrite, PlatformError>>;
 
     /// Calls for the promotion of a member.
     fn promote(
@@ -156,7 +158,7 @@
         endpoint: &str,
         holder: &str,
         token: u64,
-    ) -> impl Future<Output = Result<PromotionAnswer, LinkError>>;
+    ) -> impl Future<Output = Result<PromotionAnswer, PlatformError>>;
 
     /// Decodes a row; none if it says nothing of interest.
     fn decode_row(&self, table: WatchedTable, row: &StoredRow) -> Option<RowChange>;
@@ -283,7 +285,7 @@
 /// Protocol of callers and endpoints. Lines come without their terminator.
 pub trait WireCodec: 'static {
     /// Longest line accepted, in bytes.
-    const LINE_LIMIT: usize;
+    const MAX_LINE_BYTES: usize;
 
     /// Reads a request of a caller.
     fn decode_request(line: &[u8]) -> CallerRequest;
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,24 +1,24 @@
 //! Engine of an instance that serves a line protocol: sessions, endpoint connections, peers, duty.
 //!
 //! The decisions are in `coord`; this crate performs their input and output over the edges in
-//! [`link`].
+//! [`interface`].
 
 pub mod caller;
 pub mod channel;
 pub mod directory;
 pub mod dispatch;
+pub mod failover;
 pub mod holder;
+pub mod interface;
 pub mod limits;
 pub mod lines;
-pub mod link;
 pub mod member;
 pub mod message;
 pub mod node;
-pub mod operation;
 pub mod peer;
 mod pool;
 pub mod record;
 pub mod run;
-pub mod steward;
+pub mod statement;
 pub mod tables;
 pub mod watch;
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -8,7 +8,7 @@
 use coord::urgency::UrgencyLevel;
 use tokio::time::sleep;
 
-use crate::message::CountAnswer;
+use crate::message::AdmissionDecision;
 use crate::node::{EngineEdge, GatewayNode};
 
 /// Time in which the counter of a team must answer.
@@ -31,36 +31,41 @@
         patience: Duration,
     ) -> Result<(), Duration> {
         let patience = patience.min(LIMIT_PATIENCE);
-        if self.directory.borrow().document().limit(team).is_none() {
+        if self.directory.borrow().document().team_limit(team).is_none() {
             return Ok(());
         }
         match self.count(team, level, patience).await {
-            CountAnswer::Admitted { after } if after.is_zero() => Ok(()),
-            CountAnswer::Admitted { after } => {
-                sleep(after).await;
+            AdmissionDecision::Admitted { delay } if delay.is_zero() => Ok(()),
+            AdmissionDecision::Admitted { delay } => {
+                sleep(delay).await;
                 Ok(())
             }
-            CountAnswer::Refused { retry } => Err(retry.max(LEAST_RETRY)),
+            AdmissionDecision::Refused { retry_after } => Err(retry_after.max(LEAST_RETRY)),
         }
     }
 
     /// Counts an operation here, as the counter of its team.
-    pub fn count_here(&self, team: &str, level: UrgencyLevel, patience: Duration) -> CountAnswer {
+    pub fn count_here(
+        &self,
+        team: &str,
+        level: UrgencyLevel,
+        patience: Duration,
+    ) -> AdmissionDecision {
         let document = self.directory.borrow().document();
-        let Some(limit) = document.limit(team) else {
-            return CountAnswer::Admitted { after: Duration::ZERO };
+        let Some(limit) = document.team_limit(team) else {
+            return AdmissionDecision::Admitted { delay: Duration::ZERO };
         };
         let (first, now) = (self.is_first_start(), self.now());
         match self.counters.borrow_mut().take(
             team,
             limit,
-            document.rank(level),
+            document.priority_rank(level),
             patience,
             first,
             now,
         ) {
-            Ok(after) => CountAnswer::Admitted { after },
-            Err(delay) => CountAnswer::Refused { retry: delay.retry_after },
+            Ok(after) => AdmissionDecision::Admitted { delay: after },
+            Err(delay) => AdmissionDecision::Refused { retry_after: delay.retry_after },
         }
     }
 
@@ -68,7 +73,7 @@
     pub async fn observe_reach(self: Rc<Self>) {
         loop {
             let reached = self.peers.live().len() + 1;
-            let registered = self.peers.registered();
+            let registered = self.peers.registered_count();
             self.counters.borrow_mut().observe(reached, registered, self.now());
             sleep(OBSERVATION_PERIOD).await;
         }
@@ -79,8 +84,8 @@
         team: &str,
         level: UrgencyLevel,
         patience: Duration,
-    ) -> CountAnswer {
-        let names = self.peers.staying(self.is_leaving());
+    ) -> AdmissionDecision {
+        let names = self.peers.active_names(self.is_leaving());
         let order = rendezvous::first(team, names.iter().map(String::as_str), ASKED_COUNTERS);
         for name in order {
             if name == self.name() {
--- a/crates/engine/src/member.rs
+++ b/crates/engine/src/member.rs
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
+use crate::interface::{AnswerLine, RefusalCode, WireCodec};
 use crate::lines::LineBuffer;
-use crate::link::{AnswerLine, RefusalCode, WireCodec};
 use crate::message::StatementAnswer;
 
 /// Time in which a TCP connection to an endpoint must open.
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -9,7 +9,7 @@
 use snafu::Snafu;
 use state::position::LogPosition;
 
-use crate::link::{RefusalCode, WatchedTable};
+use crate::interface::{RefusalCode, WatchedTable};
 use crate::record::InstanceRecord;
 use crate::tables::StoredRow;
 
@@ -43,19 +43,19 @@
     /// Team on whose behalf they run.
     pub team: String,
     /// Transaction of the sender that they belong to; zero for none.
-    pub channel: u32,
+    pub transaction_id: u32,
     /// The transaction holds a connection already.
     pub pinned: bool,
     /// The connection stays with the transaction afterwards.
-    pub keeps: bool,
+    pub keep_pinned: bool,
     /// Urgency.
-    pub level: UrgencyLevel,
+    pub priority: UrgencyLevel,
     /// Longest wait before they start, in milliseconds.
-    pub start_within_ms: u32,
+    pub start_timeout_ms: u32,
     /// Longest time to the last answer, in milliseconds.
-    pub answer_within_ms: u32,
+    pub answer_timeout_ms: u32,
     /// Session values and prepared names that the connection must have; zero for none.
-    pub setup: u64,
+    pub setup_id: u64,
     /// Statements that give a connection those values, as sent to the endpoint.
     pub setup_bytes: Vec<u8>,
     /// Number of statements in `setup_bytes`.
@@ -63,15 +63,15 @@
     /// Statement that opens a transaction and must succeed before the others are sent; may be empty.
     ///
     /// A member that refuses it would run what follows outside of a transaction.
-    pub opening: Vec<u8>,
+    pub begin_bytes: Vec<u8>,
     /// Statements as sent to the endpoint.
     pub bytes: Vec<u8>,
     /// Number of statements in `bytes`.
     pub count: u8,
     /// Answer that proves that the endpoint leads, if it is a success.
-    pub proof: Option<u8>,
+    pub confirming_answer: Option<u8>,
     /// The statements may be sent again elsewhere if they bring no answer.
-    pub repeatable: bool,
+    pub retryable: bool,
 }
 
 /// Answer to one statement.
@@ -90,31 +90,31 @@
 
 /// Why statements were not sent to an endpoint.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub enum HoldReason {
+pub enum NotSentReason {
     /// The holder cannot reach the endpoint.
     Unreachable,
     /// They would start too late.
-    Queue,
+    QueueDelay,
     /// No connection became free in time.
-    Connections,
+    NoConnection,
     /// The connection of the transaction is gone.
     PinLost,
     /// The endpoint is not registered as far as the holder knows.
     UnknownEndpoint,
     /// No instance that could hold the connection is reachable.
-    NoHolder,
+    NoOwner,
 }
 
-impl HoldReason {
+impl NotSentReason {
     /// Returns the label of the reason in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Unreachable => "unreachable",
-            Self::Queue => "queue",
-            Self::Connections => "connections",
+            Self::QueueDelay => "queue",
+            Self::NoConnection => "connections",
             Self::PinLost => "pin_lost",
             Self::UnknownEndpoint => "unknown_endpoint",
-            Self::NoHolder => "no_holder",
+            Self::NoOwner => "no_holder",
         }
     }
 }
@@ -127,7 +127,7 @@
     /// None was sent to the endpoint.
     NotSent {
         /// Why.
-        reason: HoldReason,
+        reason: NotSentReason,
         /// Time after which another try has a chance, in milliseconds.
         retry_ms: u32,
     },
@@ -141,23 +141,23 @@
     /// What became of the statements.
     pub outcome: ExecuteOutcome,
     /// Expected wait of the next request, in milliseconds.
-    pub queue_ms: u32,
+    pub queue_wait_ms: u32,
     /// Newest position proved by the leader of the service, with its age in milliseconds.
-    pub mark: Option<(LogPosition, u32)>,
+    pub watermark: Option<(LogPosition, u32)>,
 }
 
 /// Decision of a team's counter about an operation.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum CountAnswer {
+pub enum AdmissionDecision {
     /// It may start.
     Admitted {
         /// Time to wait before.
-        after: Duration,
+        delay: Duration,
     },
     /// It is over the limit.
     Refused {
         /// Time after which another one would pass.
-        retry: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -167,20 +167,20 @@
     /// It stops soon and takes no new work from others.
     pub leaving: bool,
     /// Versions of its copies of the platform's tables, in the order of [`WatchedTable::ALL`].
-    pub tables: [u64; 2],
+    pub table_versions: [u64; 2],
     /// Fencing token if it is on duty.
-    pub duty: Option<u64>,
+    pub promotion_token: Option<u64>,
     /// The store answers it.
-    pub store_reached: bool,
+    pub store_reachable: bool,
     /// Endpoints that it cannot reach.
-    pub failing: Vec<String>,
+    pub unreachable_endpoints: Vec<String>,
     /// Leaders it knows: service, endpoint, term.
     pub leaders: Vec<(String, String, u64)>,
 }
 
 /// Proof that a document is the newest.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct DocumentProof {
+pub struct DocumentValidation {
     /// Version of the copy of the document's table.
     pub version: u64,
     /// Time since the store was asked, in milliseconds, rounded up.
@@ -195,37 +195,37 @@
     /// Asks for a sign of life; carries the version of the status known so far.
     Ping {
         /// Number for the answer.
-        number: u32,
+        ping_id: u32,
         /// Version of the status that the sender has.
-        known: u32,
+        known_version: u32,
     },
     /// Runs statements.
     Execute {
         /// Number for the answer.
-        call: u32,
+        call_id: u32,
         /// The statements.
         body: Box<ExecuteCall>,
     },
     /// Rolls a transaction back and frees its connection.
     Release {
         /// Transaction of the sender.
-        channel: u32,
+        transaction_id: u32,
     },
     /// Asks whether an operation of a team is within its limit.
-    Count {
+    Admit {
         /// Number for the answer.
-        call: u32,
+        call_id: u32,
         /// Team.
         team: String,
         /// Urgency of the operation.
-        level: UrgencyLevel,
+        priority: UrgencyLevel,
         /// Longest wait for the next token, in milliseconds.
-        patience_ms: u32,
+        max_wait_ms: u32,
     },
     /// Asks whether an endpoint can be reached by a fresh connection.
     Probe {
         /// Number for the answer.
-        call: u32,
+        call_id: u32,
         /// Endpoint.
         endpoint: String,
     },
@@ -239,7 +239,7 @@
     /// Asks for a table.
     Table {
         /// Number for the answer.
-        call: u32,
+        call_id: u32,
         /// Table.
         table: WatchedTable,
     },
@@ -251,39 +251,39 @@
     /// Sign of life, with the status if it has changed.
     Pong {
         /// Number of the ping; zero if the status is told without one.
-        number: u32,
+        ping_id: u32,
         /// What proves the sender's document, if withdrawn keys must stop everywhere.
-        proof: Option<DocumentProof>,
+        validation: Option<DocumentValidation>,
         /// Version of the status.
-        version: u32,
+        status_version: u32,
         /// The status, if the asking side does not have this version.
         status: Option<Box<InstanceStatus>>,
     },
     /// Answer to [`PeerRequest::Execute`].
     Execute {
         /// Number of the call.
-        call: u32,
+        call_id: u32,
         /// The answer.
         body: Box<ExecuteReply>,
     },
     /// Answer to [`PeerRequest::Count`].
-    Count {
+    Admit {
         /// Number of the call.
-        call: u32,
+        call_id: u32,
         /// The answer.
-        answer: CountAnswer,
+        decision: AdmissionDecision,
     },
     /// Answer to [`PeerRequest::Probe`].
     Probe {
         /// Number of the call.
-        call: u32,
+        call_id: u32,
         /// The endpoint answered.
         reached: bool,
     },
     /// Answer to [`PeerRequest::Table`].
     Table {
         /// Number of the call.
-        call: u32,
+        call_id: u32,
         /// All rows.
         rows: Vec<StoredRow>,
         /// Version of the last change.
--- a/crates/engine/src/node.rs
+++ b/crates/engine/src/node.rs
@@ -14,16 +14,16 @@
 
 use crate::directory::FleetDirectory;
 use crate::holder::ConnectionHolder;
-use crate::link::{PlatformLink, RowChange, WireCodec};
+use crate::interface::{PlatformApi, RowChange, WireCodec};
 use crate::message::InstanceStatus;
 use crate::peer::PeerTable;
 use crate::record::InstanceRecord;
-use crate::tables::TableCopies;
+use crate::tables::TableCaches;
 
 /// Choice of platform and protocol.
 pub trait EngineEdge: 'static {
     /// Services of the platform.
-    type Platform: PlatformLink;
+    type Platform: PlatformApi;
     /// Protocol of callers and endpoints.
     type Codec: WireCodec;
 }
@@ -64,7 +64,7 @@
     /// Document, endpoints, leaders.
     pub directory: RefCell<FleetDirectory>,
     /// Copies of the platform's tables.
-    pub tables: RefCell<TableCopies>,
+    pub tables: RefCell<TableCaches>,
     /// Proofs that the document in force is the newest.
     pub confirmation: RefCell<ConfirmationMachine>,
     /// Other instances.
@@ -120,7 +120,7 @@
     /// Takes bounds that changed while the instance runs.
     pub fn apply_bounds(&self, grace: Duration, drain_limit: Duration) {
         self.grace.set(grace);
-        self.directory.borrow_mut().set_drain_limit(drain_limit);
+        self.directory.borrow_mut().set_drain_timeout(drain_limit);
     }
 
     /// Returns the time from the signal to stop until the process is killed.
@@ -140,7 +140,7 @@
 
     /// Tells whether the instance can serve callers and is not about to stop.
     pub fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.directory.borrow().is_complete() && self.is_document_confirmed()
+        !self.is_leaving() && self.directory.borrow().is_loaded() && self.is_document_confirmed()
     }
 
     /// Tells whether keys may be accepted: no withdrawal can have been missed for too long.
@@ -265,10 +265,10 @@
         let directory = self.directory.borrow();
         InstanceStatus {
             leaving: self.is_leaving(),
-            tables: self.tables.borrow().versions(),
-            duty: self.duty.get(),
-            store_reached: self.store_reached.get(),
-            failing: self.holder.failing(),
+            table_versions: self.tables.borrow().versions(),
+            promotion_token: self.duty.get(),
+            store_reachable: self.store_reached.get(),
+            unreachable_endpoints: self.holder.failing(),
             leaders: directory.leaders(),
         }
     }
@@ -287,7 +287,7 @@
                     );
                 }
             }
-            RowChange::DocumentUnreadable(reason) => {
+            RowChange::DocumentInvalid(reason) => {
                 log_event!(LogEvent::DocumentRefused, "cause=\"{reason}\"");
             }
             RowChange::Endpoint(record) => {
@@ -299,8 +299,8 @@
                     log_event!(LogEvent::EndpointListed, "{line}");
                 }
             }
-            RowChange::EndpointGone { name, reason } => {
-                if self.directory.borrow_mut().remove_endpoint(&name, now) {
+            RowChange::EndpointRemoved { name, reason } => {
+                if self.directory.borrow_mut().unregister_endpoint(&name, now) {
                     let reason = reason.unwrap_or_else(|| "row removed".to_owned());
                     log_event!(LogEvent::EndpointUnlisted, "endpoint={name} cause=\"{reason}\"");
                 }
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::channel::{OutputQueue, PeerLink, SILENCE_LIMIT, StatusTeller, close_link};
-use crate::message::{DocumentProof, InstanceStatus, PeerReply, PeerRequest, decode, millis};
+use crate::message::{DocumentValidation, InstanceStatus, PeerReply, PeerRequest, decode, millis};
 use crate::node::{EngineEdge, GatewayNode};
 use crate::record::InstanceRecord;
 
@@ -59,12 +59,12 @@
     }
 
     /// Returns how many instances are known, this one included.
-    pub fn registered(&self) -> usize {
+    pub fn registered_count(&self) -> usize {
         self.links.borrow().len() + 1
     }
 
     /// Returns the names of the instances that answer and stay, this one included.
-    pub fn staying(&self, leaving: bool) -> Vec<String> {
+    pub fn active_names(&self, leaving: bool) -> Vec<String> {
         let links = self.links.borrow();
         let stays = links.values().filter(|link| link.is_live() && !link.status.borrow().leaving);
         let mut names: Vec<String> = stays.map(|link| link.record.name.clone()).collect();
@@ -75,8 +75,8 @@
     }
 
     /// Returns the instances that may hold an endpoint's connections, the first choice first.
-    pub fn holders(&self, endpoint: &str, zone: &str, leaving: bool) -> Vec<String> {
-        let names = self.staying(leaving);
+    pub fn ordered_owners(&self, endpoint: &str, zone: &str, leaving: bool) -> Vec<String> {
+        let names = self.active_names(leaving);
         let links = self.links.borrow();
         let zone_of = |name: &str| links.get(name).map_or(&self.own.zone, |link| &link.record.zone);
         let candidates: Vec<HolderCandidate<'_>> = names
@@ -91,17 +91,17 @@
     /// Returns the instances that may hold an endpoint's connections, the first choice first.
     ///
     /// Those that cannot reach it come last, so that all instances agree on another one.
-    pub fn holders_of(&self, endpoint: &str) -> Vec<String> {
+    pub fn connection_owners(&self, endpoint: &str) -> Vec<String> {
         let directory = self.directory.borrow();
         let zone = directory.endpoint(endpoint).map_or("", |entry| entry.record.zone.as_str());
-        let mut holders = self.peers.holders(endpoint, zone, self.is_leaving());
+        let mut holders = self.peers.ordered_owners(endpoint, zone, self.is_leaving());
         holders.sort_by_key(|name| {
             if name == self.name() {
                 return self.holder.failing_since(endpoint).is_some();
             }
             let link = self.peers.link(name);
             link.is_some_and(|link| {
-                link.status.borrow().failing.iter().any(|name| name == endpoint)
+                link.status.borrow().unreachable_endpoints.iter().any(|name| name == endpoint)
             })
         });
         holders
@@ -194,7 +194,10 @@
                     link.heard_at.get().is_none() || older(link.heard_at.get(), IDLE_PERIOD);
                 if quiet || needs_proof || link.has_calls() {
                     let number = link.call_number();
-                    output.push(&PeerRequest::Ping { number, known: link.status_version.get() });
+                    output.push(&PeerRequest::Ping {
+                        ping_id: number,
+                        known_version: link.status_version.get(),
+                    });
                     if link.proof_ping.get().is_none_or(|(_, at)| older(Some(at), IDLE_PERIOD)) {
                         link.proof_ping.set(Some((number, now)));
                     }
@@ -221,7 +224,10 @@
                 match decode::<PeerReply>(&mut input) {
                     Ok(Some(reply)) => {
                         self.hear(link, output);
-                        if let PeerReply::Pong { number, proof: Some(proof), .. } = &reply {
+                        if let PeerReply::Pong {
+                            ping_id: number, validation: Some(proof), ..
+                        } = &reply
+                        {
                             self.hear_proof(link, *number, *proof);
                         }
                         link.take_reply(reply);
@@ -249,7 +255,7 @@
     }
 
     /// Takes another instance's proof of its document, counted from before it was asked.
-    fn hear_proof(&self, link: &PeerLink, number: u32, proof: DocumentProof) {
+    fn hear_proof(&self, link: &PeerLink, number: u32, proof: DocumentValidation) {
         let Some((_, asked_at)) = link.proof_ping.get().filter(|(asked, _)| *asked == number)
         else {
             return;
@@ -267,17 +273,17 @@
     }
 
     /// Returns the proof of the own document for other instances.
-    fn document_proof(&self) -> Option<DocumentProof> {
+    fn document_proof(&self) -> Option<DocumentValidation> {
         self.settings.withdrawal_bound?;
         let confirmation = self.confirmation.borrow();
         let age = confirmation.proof_age(self.now())?;
-        Some(DocumentProof { version: confirmation.version(), age_ms: millis(age) + 1 })
+        Some(DocumentValidation { version: confirmation.version(), age_ms: millis(age) + 1 })
     }
 
     fn hear_status(&self, status: &InstanceStatus) {
         let mut directory = self.directory.borrow_mut();
         for (service, endpoint, term) in &status.leaders {
-            if directory.hear_leader(service, endpoint, *term) {
+            if directory.record_leader(service, endpoint, *term) {
                 log_event!(
                     LogEvent::PrimaryChanged,
                     "service={service} endpoint={endpoint} term={term} source=peer"
@@ -342,9 +348,9 @@
                     }
                 };
                 match request {
-                    PeerRequest::Ping { number, known } => {
+                    PeerRequest::Ping { ping_id, known_version } => {
                         teller.refresh(self.status());
-                        teller.tell(output, number, known, self.document_proof());
+                        teller.tell(output, ping_id, known_version, self.document_proof());
                     }
                     other => self.take_request(origin, output, other),
                 }
@@ -368,30 +374,30 @@
         match request {
             PeerRequest::Hello(record) => self.meet(record),
             PeerRequest::Ping { .. } => {}
-            PeerRequest::Execute { call, body } => {
+            PeerRequest::Execute { call_id, body } => {
                 tokio::task::spawn_local(async move {
                     let body = Box::new(node.hold_execute(origin, *body).await);
-                    output.push(&PeerReply::Execute { call, body });
+                    output.push(&PeerReply::Execute { call_id, body });
                 });
             }
-            PeerRequest::Release { channel } => self.hold_release(origin, channel),
-            PeerRequest::Count { call, team, level, patience_ms } => {
-                let patience = Duration::from_millis(patience_ms.into());
-                let answer = self.count_here(&team, level, patience);
-                output.push(&PeerReply::Count { call, answer });
+            PeerRequest::Release { transaction_id } => self.hold_release(origin, transaction_id),
+            PeerRequest::Admit { call_id, team, priority, max_wait_ms } => {
+                let patience = Duration::from_millis(max_wait_ms.into());
+                let answer = self.count_here(&team, priority, patience);
+                output.push(&PeerReply::Admit { call_id, decision: answer });
             }
-            PeerRequest::Probe { call, endpoint } => {
+            PeerRequest::Probe { call_id, endpoint } => {
                 tokio::task::spawn_local(async move {
                     let reached = node.probe_member(&endpoint).await.is_some();
-                    output.push(&PeerReply::Probe { call, reached });
+                    output.push(&PeerReply::Probe { call_id, reached });
                 });
             }
             PeerRequest::Rows { table, rows } => self.take_rows(table, rows),
-            PeerRequest::Table { call, table } => {
+            PeerRequest::Table { call_id, table } => {
                 let mut tables = self.tables.borrow_mut();
                 let copy = tables.table(table);
                 let (rows, version) = (copy.rows(), copy.version());
-                output.push(&PeerReply::Table { call, rows, version });
+                output.push(&PeerReply::Table { call_id, rows, version });
             }
         }
     }
--- a/crates/engine/src/record.rs
+++ b/crates/engine/src/record.rs
@@ -13,23 +13,25 @@
     /// Every statement runs on the leader.
     Leader,
     /// Reads may be of a stated age.
-    BoundedAge {
+    BoundedStaleness {
         /// Greatest age of the data.
-        stated_age: Duration,
+        max_staleness: Duration,
     },
     /// Reads may be of a stated age but show the session's own commits.
-    OwnWrites {
+    ReadYourWrites {
         /// Greatest age of the data.
-        stated_age: Duration,
+        max_staleness: Duration,
     },
 }
 
 impl RouteConsistency {
     /// Returns the age that reads may have; none if they need the leader.
-    pub fn stated_age(&self) -> Option<Duration> {
+    pub fn max_staleness(&self) -> Option<Duration> {
         match self {
             Self::Leader => None,
-            Self::BoundedAge { stated_age } | Self::OwnWrites { stated_age } => Some(*stated_age),
+            Self::BoundedStaleness { max_staleness } | Self::ReadYourWrites { max_staleness } => {
+                Some(*max_staleness)
+            }
         }
     }
 }
@@ -44,13 +46,13 @@
     /// How reads are kept consistent.
     pub consistency: RouteConsistency,
     /// Urgency, zero first.
-    pub level: UrgencyLevel,
+    pub priority: UrgencyLevel,
     /// Time that one statement may take.
     pub statement_timeout: Duration,
     /// Time in which callers want an operation answered.
     pub target_latency: Duration,
     /// No key is needed.
-    pub open_to_all: bool,
+    pub public: bool,
 }
 
 /// Service of endpoints.
@@ -59,7 +61,7 @@
     /// Name of the service.
     pub name: String,
     /// Connections that one endpoint takes from all instances together.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Replicas that confirm a commit before it is acknowledged.
     pub synchronous_replicas: usize,
 }
@@ -87,7 +89,7 @@
     /// Teams.
     pub teams: Vec<TeamRecord>,
     /// Time for which an open transaction may rest.
-    pub transaction_idle: Option<Duration>,
+    pub transaction_idle_timeout: Option<Duration>,
 }
 
 /// Registered endpoint.
@@ -108,7 +110,7 @@
     /// It says that it leads its service.
     pub leads: bool,
     /// Time of its start in milliseconds of the epoch, by its own clock; tells a restart.
-    pub born_ms: u64,
+    pub started_ms: u64,
 }
 
 /// Registered instance of this system.
@@ -126,7 +128,7 @@
 
 /// Lease of the duty to promote, as kept in the store.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct DutyLease {
+pub struct PromotionLease {
     /// Name of the instance on duty.
     pub holder: String,
     /// Number drawn at the start of the holder.
--- a/crates/engine/src/run.rs
+++ b/crates/engine/src/run.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-use crate::link::{PlatformLink, WatchedTable};
+use crate::interface::{PlatformApi, WatchedTable};
 use crate::node::{EngineEdge, GatewayNode};
 
 /// Part of the grace period after which the instance ends whatever is still open.
@@ -43,11 +43,11 @@
         tokio::task::spawn_local(self.clone().accept_callers(callers));
         tokio::task::spawn_local(self.clone().watch_table(WatchedTable::Document));
         tokio::task::spawn_local(self.clone().watch_table(WatchedTable::Endpoints));
-        tokio::task::spawn_local(self.clone().keep_registered());
-        tokio::task::spawn_local(self.clone().heal_tables());
+        tokio::task::spawn_local(self.clone().register_and_discover());
+        tokio::task::spawn_local(self.clone().run_anti_entropy());
         tokio::task::spawn_local(self.clone().ping_peers());
         tokio::task::spawn_local(self.clone().observe_reach());
-        tokio::task::spawn_local(self.clone().serve_duty());
+        tokio::task::spawn_local(self.clone().coordinate_failover());
         let node = self.clone();
         tokio::task::spawn_local(async move {
             loop {
@@ -65,7 +65,7 @@
     pub async fn stop(self: &Rc<Self>) {
         log_event!(LogEvent::DrainStarted, "callers={}", self.callers.get());
         self.leave();
-        let removal = self.platform.remove_instance(self.name());
+        let removal = self.platform.unregister_instance(self.name());
         let begun_at = self.now();
         tokio::pin!(removal);
         let removed = tokio::time::timeout(NOTICE_TIME, removal).await;
--- a/crates/engine/src/operation.rs
+++ b/crates/engine/src/statement.rs
@@ -14,8 +14,8 @@
 use telemetry::{log_event, meter};
 use tokio::time::sleep;
 
-use crate::link::{ControlStatement, RefusalCode, WireCodec};
-use crate::message::{ExecuteCall, ExecuteOutcome, HoldReason, StatementAnswer, millis};
+use crate::interface::{ControlStatement, RefusalCode, WireCodec};
+use crate::message::{ExecuteCall, ExecuteOutcome, NotSentReason, StatementAnswer, millis};
 use crate::node::{EngineEdge, GatewayNode};
 use crate::record::{RouteConsistency, RouteRecord};
 
@@ -34,17 +34,17 @@
 
 /// Holder and endpoint of an open transaction.
 #[derive(Clone, Debug)]
-pub struct PinnedPlace {
+pub struct PinnedTransaction {
     /// Instance that holds the connection.
-    pub holder: String,
+    pub owner: String,
     /// Endpoint.
     pub endpoint: String,
     /// Number of the transaction.
-    pub channel: u32,
+    pub transaction_id: u32,
 }
 
 /// Statement with all that decides where it runs.
-pub struct OperationContext<'a> {
+pub struct StatementContext<'a> {
     /// How it must run.
     pub plan: &'a ForwardPlan,
     /// Route of the session.
@@ -52,21 +52,21 @@
     /// Team of the caller.
     pub team: &'a str,
     /// Identifier of the request.
-    pub id: &'a str,
+    pub request_id: &'a str,
     /// Text as sent.
     pub text: &'a str,
     /// State of the session.
-    pub dialogue: &'a SessionDialogue,
+    pub session_state: &'a SessionDialogue,
     /// Number of the session.
-    pub session: u64,
+    pub session_id: u64,
     /// Settings that the connection of the open transaction lacks.
-    pub pending: Vec<String>,
+    pub pending_setup: Vec<String>,
     /// Arrival of the statement; its transaction may have begun long before.
     pub arrived_at: Instant,
 }
 
 /// Outcome of a statement.
-pub enum OperationResult {
+pub enum StatementResult {
     /// A member ran it.
     Success {
         /// Lines for the caller.
@@ -74,7 +74,7 @@
         /// Position of the member.
         position: Option<LogPosition>,
         /// Where the transaction that it opened goes on.
-        place: Option<PinnedPlace>,
+        transaction: Option<PinnedTransaction>,
     },
     /// It did not succeed.
     Failure {
@@ -104,7 +104,7 @@
 
 /// What one try brought.
 enum TryOutcome {
-    Done(OperationResult),
+    Done(StatementResult),
     /// Did not run; another try makes sense after a pause, at the same or another endpoint.
     Again {
         code: RefusalCode,
@@ -119,14 +119,14 @@
     /// Runs a statement and tells what became of it.
     pub async fn run_statement(
         self: &Rc<Self>,
-        context: &OperationContext<'_>,
-        pinned: Option<&PinnedPlace>,
-    ) -> OperationResult {
+        context: &StatementContext<'_>,
+        pinned: Option<&PinnedTransaction>,
+    ) -> StatementResult {
         if context.plan.pinned {
             return self.run_pinned(context, pinned).await;
         }
         let patience = context.route.target_latency.mul_f64(LIMIT_PART);
-        if let Err(wait) = self.admit(context.team, context.route.level, patience).await {
+        if let Err(wait) = self.admit(context.team, context.route.priority, patience).await {
             return not_run("over the limit of the team", wait);
         }
         // The caller's pause after the opening of a transaction is not the statement's wait.
@@ -182,26 +182,26 @@
     /// Runs a statement on the connection of the open transaction.
     async fn run_pinned(
         self: &Rc<Self>,
-        context: &OperationContext<'_>,
-        pinned: Option<&PinnedPlace>,
-    ) -> OperationResult {
+        context: &StatementContext<'_>,
+        pinned: Option<&PinnedTransaction>,
+    ) -> StatementResult {
         let Some(place) = pinned else {
             return failure(RefusalCode::Aborted, "the transaction is gone".to_owned());
         };
         let mut bytes = Vec::new();
-        E::Codec::encode_statement(&mut bytes, context.id, None, context.text);
+        E::Codec::encode_statement(&mut bytes, context.request_id, None, context.text);
         let commits = context.plan.commits;
         let shape =
             StatementShape { bytes, count: 1, keeps: !commits, ..StatementShape::default() };
-        let mut call = self.build_call(context, &place.endpoint, shape, place.channel);
+        let mut call = self.build_call(context, &place.endpoint, shape, place.transaction_id);
         call.pinned = true;
         call.setup_bytes.clear();
-        for text in &context.pending {
+        for text in &context.pending_setup {
             E::Codec::encode_control(&mut call.setup_bytes, ControlStatement::Setup(text));
         }
-        call.setup_count = u8::try_from(context.pending.len()).unwrap_or(u8::MAX);
-        call.answer_within_ms = millis(context.route.statement_timeout);
-        let reply = self.dispatch_to(&place.holder, call).await;
+        call.setup_count = u8::try_from(context.pending_setup.len()).unwrap_or(u8::MAX);
+        call.answer_timeout_ms = millis(context.route.statement_timeout);
+        let reply = self.dispatch_to(&place.owner, call).await;
         match reply.outcome {
             ExecuteOutcome::Answered(answers) => finish(answers, 0, None),
             ExecuteOutcome::Lost if commits => {
@@ -217,7 +217,7 @@
     /// Chooses the endpoint for the next try, with the position that a replica must have.
     fn choose(
         &self,
-        context: &OperationContext<'_>,
+        context: &StatementContext<'_>,
         failed: &[String],
         now: Instant,
     ) -> Option<(String, bool, Option<LogPosition>)> {
@@ -225,26 +225,26 @@
         let service = &context.route.service;
         let is_new = |name: &String| !failed.contains(name);
         if !context.plan.read_only {
-            let order = directory.order_for_write(service, now);
+            let order = directory.write_candidates(service, now);
             return order.into_iter().find(is_new).map(|endpoint| (endpoint, true, None));
         }
-        let needed = context.route.consistency.stated_age().and_then(|stated_age| {
-            let marks = directory.marks(service)?;
+        let needed = context.route.consistency.max_staleness().and_then(|stated_age| {
+            let marks = directory.watermarks(service)?;
             let mark = marks.oldest_within(context.plan.began_at, stated_age)?;
             let own = match context.route.consistency {
-                RouteConsistency::OwnWrites { .. } => context.dialogue.own_commit(),
+                RouteConsistency::ReadYourWrites { .. } => context.session_state.own_commit(),
                 _ => None,
             };
             Some(MarkRing::needed_position(mark, own))
         });
         let zone = &self.settings.record.zone;
-        let order = directory.order_for_read(service, zone, needed, now);
+        let order = directory.read_candidates(service, zone, needed, now);
         let found = order.into_iter().find(|(name, _)| is_new(name));
         match found {
             Some((endpoint, leads)) => Some((endpoint, leads, needed)),
             // The leader may be another member than this instance believes.
             None => {
-                let order = directory.order_for_write(service, now);
+                let order = directory.write_candidates(service, now);
                 order.into_iter().find(is_new).map(|endpoint| (endpoint, true, None))
             }
         }
@@ -252,7 +252,7 @@
 
     async fn try_at(
         self: &Rc<Self>,
-        context: &OperationContext<'_>,
+        context: &StatementContext<'_>,
         endpoint: &str,
         leads: bool,
         needed: Option<LogPosition>,
@@ -270,15 +270,18 @@
                 if let Some(proof) = proof.and_then(|index| answers.get(usize::from(index))) {
                     self.learn_leader(endpoint, proof, now);
                 }
-                let opened =
-                    PinnedPlace { holder: held.holder, endpoint: endpoint.to_owned(), channel };
+                let opened = PinnedTransaction {
+                    owner: held.holder,
+                    endpoint: endpoint.to_owned(),
+                    transaction_id: channel,
+                };
                 judge(context, answers, answer, keeps.then_some(opened))
             }
             ExecuteOutcome::NotSent { reason, retry_ms } => TryOutcome::Again {
                 code: RefusalCode::Busy,
                 cause: reason.label(),
                 pause: match reason {
-                    HoldReason::Queue | HoldReason::Connections => {
+                    NotSentReason::QueueDelay | NotSentReason::NoConnection => {
                         Duration::from_millis(retry_ms.into()).max(FULL_PAUSE)
                     }
                     _ => LEADER_PAUSE,
@@ -290,46 +293,46 @@
 
     fn build_call(
         &self,
-        context: &OperationContext<'_>,
+        context: &StatementContext<'_>,
         endpoint: &str,
         shape: StatementShape,
         channel: u32,
     ) -> ExecuteCall {
-        let version = context.dialogue.setup_version();
+        let version = context.session_state.setup_version();
         let mut setup_bytes = Vec::new();
         let mut setup_count = 1;
         E::Codec::encode_control(&mut setup_bytes, ControlStatement::Reset);
-        for text in context.dialogue.setup_texts() {
+        for text in context.session_state.setup_texts() {
             E::Codec::encode_control(&mut setup_bytes, ControlStatement::Setup(text));
             setup_count += 1;
         }
         let setup = match version {
             0 => 0,
-            _ => context.session.rotate_left(20) ^ u64::from(version),
+            _ => context.session_id.rotate_left(20) ^ u64::from(version),
         };
         ExecuteCall {
             endpoint: endpoint.to_owned(),
             team: context.team.to_owned(),
-            channel,
+            transaction_id: channel,
             pinned: false,
-            keeps: shape.keeps,
-            level: context.route.level,
-            start_within_ms: 0,
-            answer_within_ms: 0,
-            setup,
+            keep_pinned: shape.keeps,
+            priority: context.route.priority,
+            start_timeout_ms: 0,
+            answer_timeout_ms: 0,
+            setup_id: setup,
             setup_bytes,
             setup_count,
-            opening: shape.opening,
+            begin_bytes: shape.opening,
             bytes: shape.bytes,
             count: shape.count,
-            proof: shape.proof,
-            repeatable: shape.repeatable,
+            confirming_answer: shape.proof,
+            retryable: shape.repeatable,
         }
     }
 
     fn log_retry(
         &self,
-        context: &OperationContext<'_>,
+        context: &StatementContext<'_>,
         endpoint: &str,
         cause: &'static str,
         attempt: usize,
@@ -340,7 +343,7 @@
             LogEvent::RequestRetried,
             "request={} team={} service={} endpoint={endpoint} cause={cause} attempt={attempt} \
              waited_ms={} timeout_ms={}",
-            context.id,
+            context.request_id,
             context.team,
             context.route.service,
             waited.as_millis(),
@@ -351,14 +354,14 @@
 
 /// Builds the bytes for an endpoint that leads or follows.
 fn shape_statement<C: WireCodec>(
-    context: &OperationContext<'_>,
+    context: &StatementContext<'_>,
     leads: bool,
     needed: Option<LogPosition>,
 ) -> StatementShape {
     let plan = context.plan;
     let mut shape = StatementShape { count: 1, ..StatementShape::default() };
     let statement = |bytes: &mut Vec<u8>, after| {
-        C::encode_statement(bytes, context.id, after, context.text);
+        C::encode_statement(bytes, context.request_id, after, context.text);
     };
     if plan.opens {
         // Only a leader accepts the plain form, so it proves the lead for the whole transaction.
@@ -386,10 +389,10 @@
 
 /// Decides what the answers to an operation's first statement mean.
 fn judge(
-    context: &OperationContext<'_>,
+    context: &StatementContext<'_>,
     answers: Vec<StatementAnswer>,
     answer: u8,
-    place: Option<PinnedPlace>,
+    place: Option<PinnedTransaction>,
 ) -> TryOutcome {
     let error = answers.iter().take(usize::from(answer) + 1).find_map(|answer| answer.error);
     let Some(code) = error else {
@@ -415,28 +418,30 @@
 fn finish(
     mut answers: Vec<StatementAnswer>,
     answer: u8,
-    place: Option<PinnedPlace>,
-) -> OperationResult {
+    place: Option<PinnedTransaction>,
+) -> StatementResult {
     let first_error = answers.iter().take(usize::from(answer)).find_map(|answer| answer.error);
     let index = usize::from(answer).min(answers.len().saturating_sub(1));
     let answer = answers.swap_remove(index);
     match (first_error, answer.error) {
-        (None, None) => {
-            OperationResult::Success { content: answer.content, position: answer.position, place }
-        }
+        (None, None) => StatementResult::Success {
+            content: answer.content,
+            position: answer.position,
+            transaction: place,
+        },
         (Some(code), _) => failure(code, "the transaction could not be opened".to_owned()),
         (None, Some(code)) => {
-            OperationResult::Failure { content: answer.content, code, explanation: String::new() }
+            StatementResult::Failure { content: answer.content, code, explanation: String::new() }
         }
     }
 }
 
-fn failure(code: RefusalCode, explanation: String) -> OperationResult {
-    OperationResult::Failure { content: Vec::new(), code, explanation }
+fn failure(code: RefusalCode, explanation: String) -> StatementResult {
+    StatementResult::Failure { content: Vec::new(), code, explanation }
 }
 
 /// Refuses what provably did not run, with the time after which another try has a chance.
-fn not_run(cause: &str, retry: Duration) -> OperationResult {
+fn not_run(cause: &str, retry: Duration) -> StatementResult {
     let retry = retry.max(LEAST_RETRY).as_millis();
     failure(RefusalCode::Busy, format!("not run: {cause}; retry after {retry} ms"))
 }
--- a/crates/engine/src/tables.rs
+++ b/crates/engine/src/tables.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::link::WatchedTable;
+use crate::interface::WatchedTable;
 
 /// Row as the store holds it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -22,12 +22,12 @@
 
 /// Copy of one table.
 #[derive(Debug, Default)]
-pub struct TableCopy {
+pub struct TableCache {
     rows: HashMap<String, StoredRow>,
     version: u64,
 }
 
-impl TableCopy {
+impl TableCache {
     /// Returns the version of the last change.
     pub fn version(&self) -> u64 {
         self.version
@@ -79,14 +79,14 @@
 
 /// Copies of all tables.
 #[derive(Debug, Default)]
-pub struct TableCopies {
-    document: TableCopy,
-    endpoints: TableCopy,
+pub struct TableCaches {
+    document: TableCache,
+    endpoints: TableCache,
 }
 
-impl TableCopies {
+impl TableCaches {
     /// Returns the copy of a table.
-    pub fn table(&mut self, table: WatchedTable) -> &mut TableCopy {
+    pub fn table(&mut self, table: WatchedTable) -> &mut TableCache {
         match table {
             WatchedTable::Document => &mut self.document,
             WatchedTable::Endpoints => &mut self.endpoints,
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -6,7 +6,7 @@
 use coord::rendezvous;
 use tokio::time::sleep;
 
-use crate::link::{LinkError, PlatformLink, WatchedTable};
+use crate::interface::{PlatformApi, PlatformError, WatchedTable};
 use crate::message::PeerRequest;
 use crate::node::{EngineEdge, GatewayNode};
 use crate::tables::StoredRow;
@@ -82,7 +82,7 @@
                 }
                 WatchedTable::Document | WatchedTable::Endpoints => wait,
             };
-            match self.platform.follow_table(table, version, wait, wait + ANSWER_RESERVE).await {
+            match self.platform.poll_changes(table, version, wait, wait + ANSWER_RESERVE).await {
                 Ok(read) => {
                     self.note_store(true, "");
                     version = read.version.max(version);
@@ -90,7 +90,7 @@
                     self.take_rows(table, read.rows);
                     self.note_current(table, asked_at);
                 }
-                Err(LinkError::HistoryGone) => return,
+                Err(PlatformError::HistoryExpired) => return,
                 Err(error) => {
                     self.note_store(false, &error.to_string());
                     sleep(RETRY_PAUSE).await;
@@ -112,7 +112,7 @@
         let zone = &self.settings.record.zone;
         let reads = self.peers.live().into_iter().filter(|peer| {
             let status = peer.status();
-            peer.record.zone == *zone && status.store_reached && !status.leaving
+            peer.record.zone == *zone && status.store_reachable && !status.leaving
         });
         let names: Vec<String> = reads.map(|peer| peer.record.name.clone()).collect();
         rendezvous::rank(READER_SUBJECT, self.name(), names.iter().map(String::as_str)) > 0
@@ -139,7 +139,7 @@
     fn take_table(&self, table: WatchedTable, rows: Vec<StoredRow>, version: u64) {
         let news = self.tables.borrow_mut().table(table).take_all(rows, version);
         if table == WatchedTable::Endpoints {
-            self.directory.borrow_mut().note_endpoints_read();
+            self.directory.borrow_mut().set_endpoints_loaded();
         }
         self.apply_rows(table, news);
     }
@@ -153,8 +153,8 @@
     }
 
     /// Registers this instance and looks for the others.
-    pub async fn keep_registered(self: Rc<Self>) {
-        while let Err(error) = self.platform.write_instance(&self.settings.record).await {
+    pub async fn register_and_discover(self: Rc<Self>) {
+        while let Err(error) = self.platform.register_instance(&self.settings.record).await {
             self.note_store(false, &error.to_string());
             sleep(RETRY_PAUSE).await;
         }
@@ -178,16 +178,17 @@
     }
 
     /// Compares the copies of tables with those of other instances and fetches what is newer.
-    pub async fn heal_tables(self: Rc<Self>) {
+    pub async fn run_anti_entropy(self: Rc<Self>) {
         let mut behind = [false; 2];
         loop {
             sleep(HEALING_PERIOD).await;
-            self.directory.borrow_mut().forget_gone(self.now());
+            self.directory.borrow_mut().remove_expired(self.now());
             for (index, table) in WatchedTable::ALL.into_iter().enumerate() {
                 let own = self.tables.borrow().versions()[index];
                 let live = self.peers.live();
-                let newest = live.into_iter().max_by_key(|peer| peer.status().tables[index]);
-                let ahead = newest.filter(|peer| peer.status().tables[index] > own);
+                let newest =
+                    live.into_iter().max_by_key(|peer| peer.status().table_versions[index]);
+                let ahead = newest.filter(|peer| peer.status().table_versions[index] > own);
                 let Some(peer) = ahead else {
                     behind[index] = false;
                     continue;
@@ -200,7 +201,7 @@
                     self.tables.borrow_mut().table(table).note_version(version);
                     self.take_rows(table, rows);
                     if table == WatchedTable::Endpoints {
-                        self.directory.borrow_mut().note_endpoints_read();
+                        self.directory.borrow_mut().set_endpoints_loaded();
                     }
                 }
             }
