--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -14,7 +14,7 @@
 
 /// Time for which a registration that vanished still counts; the store may have dropped it while
 /// it was away, and brings it back within two seconds of its return.
-const GONE_GRACE: Duration = Duration::from_millis(2_500);
+const UNREGISTERED_GRACE_PERIOD: Duration = Duration::from_millis(2_500);
 
 /// Document in force, indexed.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     services: HashMap<String, ServiceRecord>,
     teams_by_key: HashMap<String, Rc<str>>,
     limits: HashMap<String, Option<TeamLimit>>,
-    levels: BTreeSet<UrgencyLevel>,
+    priorities: BTreeSet<UrgencyLevel>,
 }
 
 impl DocumentIndex {
@@ -39,7 +39,7 @@
             teams_by_key.extend(team.keys.into_iter().map(|key| (key, name.clone())));
             limits.insert(team.name, team.limit);
         }
-        let levels = document.routes.iter().map(|route| route.priority).collect();
+        let priorities = document.routes.iter().map(|route| route.priority).collect();
         let routes = document.routes.into_iter();
         let services = document.services.into_iter();
         Self {
@@ -49,7 +49,7 @@
             services: services.map(|service| (service.name.clone(), service)).collect(),
             teams_by_key,
             limits,
-            levels,
+            priorities,
         }
     }
 
@@ -69,8 +69,8 @@
     }
 
     /// Returns how many urgencies above `level` the routes have.
-    pub fn priority_rank(&self, level: UrgencyLevel) -> usize {
-        self.levels.iter().filter(|other| **other < level).count()
+    pub fn priority_rank(&self, priority: UrgencyLevel) -> usize {
+        self.priorities.iter().filter(|other| **other < priority).count()
     }
 
     /// Returns a service.
@@ -99,11 +99,12 @@
 
 impl EndpointEntry {
     /// Tells whether it may get new work at all.
-    fn is_usable(&self, drain_limit: Duration, now: Instant) -> bool {
+    fn accepts_work(&self, drain_timeout: Duration, now: Instant) -> bool {
         let past = |at: Option<Instant>, limit: Duration| {
             at.is_some_and(|at| now.saturating_duration_since(at) >= limit)
         };
-        !past(self.unregistered_at, GONE_GRACE) && !past(self.leaving_since, drain_limit)
+        !past(self.unregistered_at, UNREGISTERED_GRACE_PERIOD)
+            && !past(self.leaving_since, drain_timeout)
     }
 
     /// Tells whether it is registered and does not leave.
@@ -114,8 +115,8 @@
 
 /// Leader and proved positions of a service.
 #[derive(Clone, Debug, Default)]
-struct ServiceKnowledge {
-    marks: MarkRing,
+struct ServiceState {
+    watermarks: MarkRing,
     leader: Option<(String, u64)>,
     members: Vec<String>,
 }
@@ -125,26 +126,26 @@
 pub struct FleetDirectory {
     document: Rc<DocumentIndex>,
     endpoints: HashMap<String, EndpointEntry>,
-    services: HashMap<String, ServiceKnowledge>,
-    drain_limit: Duration,
-    endpoints_read: bool,
+    services: HashMap<String, ServiceState>,
+    drain_timeout: Duration,
+    endpoints_loaded: bool,
 }
 
 impl FleetDirectory {
-    /// Creates an empty directory; a leaving endpoint gets no new work after `drain_limit`.
-    pub fn new(drain_limit: Duration) -> Self {
+    /// Creates an empty directory; a leaving endpoint gets no new work after `drain_timeout`.
+    pub fn new(drain_timeout: Duration) -> Self {
         Self {
             document: Rc::default(),
             endpoints: HashMap::new(),
             services: HashMap::new(),
-            drain_limit,
-            endpoints_read: false,
+            drain_timeout,
+            endpoints_loaded: false,
         }
     }
 
     /// Changes the time after which a leaving endpoint gets no new work.
-    pub fn set_drain_timeout(&mut self, drain_limit: Duration) {
-        self.drain_limit = drain_limit;
+    pub fn set_drain_timeout(&mut self, drain_timeout: Duration) {
+        self.drain_timeout = drain_timeout;
     }
 
     /// Returns the document in force.
@@ -154,12 +155,12 @@
 
     /// Tells whether document and endpoints were read.
     pub fn is_loaded(&self) -> bool {
-        self.document.version > 0 && self.endpoints_read
+        self.document.version > 0 && self.endpoints_loaded
     }
 
     /// Records that the table of endpoints was read in full.
     pub fn set_endpoints_loaded(&mut self) {
-        self.endpoints_read = true;
+        self.endpoints_loaded = true;
     }
 
     /// Brings a document into force unless a newer one is; tells whether it did.
@@ -177,13 +178,13 @@
         if known.is_some_and(|entry| entry.record == record && entry.unregistered_at.is_none()) {
             return false;
         }
-        let reborn = known.is_none_or(|entry| entry.record.started_ms != record.started_ms);
+        let restarted = known.is_none_or(|entry| entry.record.started_ms != record.started_ms);
         let view = match known {
-            Some(entry) if !reborn => entry.view,
+            Some(entry) if !restarted => entry.view,
             _ => EndpointView::default(),
         };
         let leaving_at = match known.and_then(|entry| entry.leaving_since) {
-            Some(at) if record.leaving && !reborn => Some(at),
+            Some(at) if record.leaving && !restarted => Some(at),
             _ => record.leaving.then_some(now),
         };
         let service = self.services.entry(record.service.clone()).or_default();
@@ -201,9 +202,9 @@
         let Some(entry) = self.endpoints.get_mut(name) else {
             return false;
         };
-        let first = entry.unregistered_at.is_none();
+        let newly_unregistered = entry.unregistered_at.is_none();
         entry.unregistered_at = entry.unregistered_at.or(Some(now));
-        first
+        newly_unregistered
     }
 
     /// Forgets endpoints whose registration vanished a while ago, and returns their names.
@@ -211,7 +212,7 @@
         let is_past = |entry: &EndpointEntry| {
             entry
                 .unregistered_at
-                .is_some_and(|at| now.saturating_duration_since(at) > 4 * GONE_GRACE)
+                .is_some_and(|at| now.saturating_duration_since(at) > 4 * UNREGISTERED_GRACE_PERIOD)
         };
         let past = self.endpoints.iter().filter(|(_, entry)| is_past(entry));
         let names: Vec<String> = past.map(|(name, _)| name.clone()).collect();
@@ -242,41 +243,41 @@
     }
 
     /// Records a position proved by the leader of a service; true if the leader is new.
-    pub fn record_leader_watermark(&mut self, endpoint: &str, mark: ProvedMark) -> bool {
+    pub fn record_leader_watermark(&mut self, endpoint: &str, watermark: ProvedMark) -> bool {
         let Some(entry) = self.endpoints.get_mut(endpoint) else {
             return false;
         };
         entry.view.followed_at = None;
         let service = entry.record.service.clone();
-        self.services.entry(service.clone()).or_default().marks.record(mark);
-        self.record_leader(&service, endpoint, mark.position.term)
+        self.services.entry(service.clone()).or_default().watermarks.record(watermark);
+        self.record_leader(&service, endpoint, watermark.position.term)
     }
 
     /// Records which endpoint leads a service in a term; true if that is news.
     pub fn record_leader(&mut self, service: &str, endpoint: &str, term: u64) -> bool {
-        let knowledge = self.services.entry(service.to_owned()).or_default();
-        let known = knowledge.leader.as_ref();
+        let state = self.services.entry(service.to_owned()).or_default();
+        let known = state.leader.as_ref();
         if known.is_some_and(|(_, known_term)| *known_term >= term) {
             return false;
         }
-        knowledge.leader = Some((endpoint.to_owned(), term));
+        state.leader = Some((endpoint.to_owned(), term));
         true
     }
 
     /// Records a mark that another instance passed on.
-    pub fn record_watermark(&mut self, service: &str, mark: ProvedMark) {
-        self.services.entry(service.to_owned()).or_default().marks.record(mark);
+    pub fn record_watermark(&mut self, service: &str, watermark: ProvedMark) {
+        self.services.entry(service.to_owned()).or_default().watermarks.record(watermark);
     }
 
     /// Returns the marks of a service.
     pub fn watermarks(&self, service: &str) -> Option<&MarkRing> {
-        self.services.get(service).map(|knowledge| &knowledge.marks)
+        self.services.get(service).map(|state| &state.watermarks)
     }
 
     /// Returns the known leaders: service, endpoint, term.
     pub fn leaders(&self) -> Vec<(String, String, u64)> {
-        let known = self.services.iter().filter_map(|(service, knowledge)| {
-            let (endpoint, term) = knowledge.leader.clone()?;
+        let known = self.services.iter().filter_map(|(service, state)| {
+            let (endpoint, term) = state.leader.clone()?;
             Some((service.clone(), endpoint, term))
         });
         let mut leaders: Vec<_> = known.collect();
@@ -286,13 +287,13 @@
 
     /// Returns the members of a service.
     pub fn members(&self, service: &str) -> &[String] {
-        self.services.get(service).map_or(&[], |knowledge| &knowledge.members)
+        self.services.get(service).map_or(&[], |state| &state.members)
     }
 
     /// Returns the endpoint that leads a service as far as this instance knows.
     pub fn leader(&self, service: &str, now: Instant) -> Option<String> {
-        let claims = self.order_of_claims(service, now);
-        claims.into_iter().find(|name| !self.endpoints[*name].view.is_follower(now)).cloned()
+        let candidates = self.leader_candidates(service, now);
+        candidates.into_iter().find(|name| !self.endpoints[*name].view.is_follower(now)).cloned()
     }
 
     /// Returns the endpoints to try for a write, best first.
@@ -300,17 +301,17 @@
     /// Others than those known or registered to lead are tried only if all of these say that they
     /// do not lead: a leader that cannot be reached is still the only one that may take a write.
     pub fn write_candidates(&self, service: &str, now: Instant) -> Vec<String> {
-        let usable = |name: &&String| self.endpoints[*name].is_usable(self.drain_limit, now);
-        let claims: Vec<&String> =
-            self.order_of_claims(service, now).into_iter().filter(usable).collect();
-        let led = claims.iter().any(|name| !self.endpoints[*name].view.is_follower(now));
-        let mut order: Vec<String> = claims.iter().map(|name| (*name).clone()).collect();
-        if !led {
+        let usable = |name: &&String| self.endpoints[*name].accepts_work(self.drain_timeout, now);
+        let candidates: Vec<&String> =
+            self.leader_candidates(service, now).into_iter().filter(usable).collect();
+        let has_leader = candidates.iter().any(|name| !self.endpoints[*name].view.is_follower(now));
+        let mut order: Vec<String> = candidates.iter().map(|name| (*name).clone()).collect();
+        if !has_leader {
             let mut others: Vec<&String> = self
                 .members(service)
                 .iter()
                 .filter(usable)
-                .filter(|name| !claims.contains(name))
+                .filter(|name| !candidates.contains(name))
                 .collect();
             others.sort_by_key(|name| {
                 let entry = &self.endpoints[*name];
@@ -322,19 +323,19 @@
     }
 
     /// Returns the endpoints known or registered to lead, the most credible first.
-    fn order_of_claims(&self, service: &str, now: Instant) -> Vec<&String> {
-        let Some(knowledge) = self.services.get(service) else {
+    fn leader_candidates(&self, service: &str, now: Instant) -> Vec<&String> {
+        let Some(state) = self.services.get(service) else {
             return Vec::new();
         };
-        let proved = knowledge.leader.as_ref().map(|(endpoint, _)| endpoint);
-        let claims = |name: &&String| {
-            self.endpoints[*name].record.leads || proved.is_some_and(|leader| leader == *name)
+        let confirmed = state.leader.as_ref().map(|(endpoint, _)| endpoint);
+        let may_lead = |name: &&String| {
+            self.endpoints[*name].record.leads || confirmed.is_some_and(|leader| leader == *name)
         };
-        let mut order: Vec<&String> = knowledge.members.iter().filter(claims).collect();
+        let mut order: Vec<&String> = state.members.iter().filter(may_lead).collect();
         order.sort_by_key(|name| {
             let entry = &self.endpoints[*name];
             // A leader that failed may have been replaced by one that has proved nothing yet.
-            (entry.view.is_follower(now), entry.view.is_avoided(now), proved != Some(*name))
+            (entry.view.is_follower(now), entry.view.is_avoided(now), confirmed != Some(*name))
         });
         order
     }
@@ -351,7 +352,7 @@
         let leads = |name: &String| leader.as_ref() == Some(name);
         let serves = |name: &&String| {
             let entry = &self.endpoints[*name];
-            entry.is_usable(self.drain_limit, now) && (entry.is_active() || leads(name))
+            entry.accepts_work(self.drain_timeout, now) && (entry.is_active() || leads(name))
         };
         let members: Vec<&String> = self.members(service).iter().filter(serves).collect();
         let candidate = |name: &&String| {
--- a/crates/engine/src/failover.rs
+++ b/crates/engine/src/failover.rs
@@ -17,27 +17,27 @@
 use crate::record::PromotionLease;
 
 /// Time between looks at leaders and lease.
-const TICK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time for which the lease runs; bounds how long a dead holder blocks the duty.
-const LEASE_TIME: Duration = Duration::from_secs(3);
+const LEASE_TTL: Duration = Duration::from_secs(3);
 /// Time before the end of the lease at which it is renewed.
-const RENEWAL_RESERVE: Duration = Duration::from_millis(1_800);
+const RENEWAL_MARGIN: Duration = Duration::from_millis(1_800);
 /// Pause after a call about the lease that failed.
-const LEASE_PAUSE: Duration = Duration::from_millis(400);
+const LEASE_RETRY_BACKOFF: Duration = Duration::from_millis(400);
 /// Time without any holder in sight after which the lease is read.
-const VACANCY_TIME: Duration = Duration::from_millis(500);
+const VACANCY_GRACE_PERIOD: Duration = Duration::from_millis(500);
 /// Time between rounds of probes of one service.
-const ROUND_PAUSE: Duration = Duration::from_millis(120);
+const PROBE_ROUND_DELAY: Duration = Duration::from_millis(120);
 /// Time in which another instance must answer whether it reaches a member.
-const WITNESS_TIMEOUT: Duration = Duration::from_millis(450);
+const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(450);
 /// Other instances asked whether they reach a leader.
-const WITNESSES: usize = 2;
+const INDIRECT_PROBES: usize = 2;
 /// Looks at a promoted member before it is left to others to find that it leads.
-const PROMOTION_LOOKS: usize = 12;
+const MAX_PROMOTION_POLLS: usize = 12;
 /// Time between those looks; a promotion takes some hundred milliseconds.
-const PROMOTION_PAUSE: Duration = Duration::from_millis(100);
+const PROMOTION_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Subject by which instances order themselves for the duty.
-const DUTY_SUBJECT: &str = "promotion";
+const COORDINATOR_ELECTION_KEY: &str = "promotion";
 
 /// Lease as this instance holds it.
 #[derive(Debug, Default)]
@@ -45,10 +45,10 @@
     lease: PromotionLease,
     version: u64,
     /// Local time up to which the lease provably runs.
-    runs_until: Option<Instant>,
+    valid_until: Option<Instant>,
     /// The token must be raised before the next call: an earlier call may still be carried out.
-    spent: bool,
-    tried_at: Option<Instant>,
+    token_used: bool,
+    attempted_at: Option<Instant>,
 }
 
 impl<E: EngineEdge> GatewayNode<E> {
@@ -58,15 +58,15 @@
         let mut vacant_since = None;
         let mut machines: HashMap<String, Rc<RefCell<TakeoverMachine>>> = HashMap::new();
         loop {
-            sleep(TICK).await;
+            sleep(CHECK_INTERVAL).await;
             if self.is_leaving() {
-                self.give_up_duty(&held).await;
+                self.release_lease(&held).await;
                 return;
             }
             if !self.directory.borrow().is_loaded() {
                 continue;
             }
-            self.keep_lease(&held, &mut vacant_since).await;
+            self.maintain_lease(&held, &mut vacant_since).await;
             if self.duty().is_none() {
                 continue;
             }
@@ -75,55 +75,60 @@
             for service in services {
                 let machine = machines.entry(service.clone()).or_default().clone();
                 // A third owner is the task that weighs this service already.
-                if Rc::strong_count(&machine) > 2 || !self.is_suspect(&service, &machine) {
+                if Rc::strong_count(&machine) > 2 || !self.is_leader_suspect(&service, &machine) {
                     continue;
                 }
                 let (node, held) = (self.clone(), held.clone());
                 tokio::task::spawn_local(async move {
-                    node.weigh_takeover(&service, &machine, &held).await;
-                    sleep(ROUND_PAUSE).await;
+                    node.evaluate_failover(&service, &machine, &held).await;
+                    sleep(PROBE_ROUND_DELAY).await;
                 });
             }
         }
     }
 
     /// Takes the lease when nobody has it, and renews it ahead of its end.
-    async fn keep_lease(&self, held: &RefCell<HeldLease>, vacant_since: &mut Option<Instant>) {
+    async fn maintain_lease(&self, held: &RefCell<HeldLease>, vacant_since: &mut Option<Instant>) {
         let now = self.now();
-        let (runs_until, tried_at) = {
+        let (valid_until, attempted_at) = {
             let held = held.borrow();
-            (held.runs_until, held.tried_at)
+            (held.valid_until, held.attempted_at)
         };
-        let pausing = tried_at.is_some_and(|at| now.saturating_duration_since(at) < LEASE_PAUSE);
+        let pausing =
+            attempted_at.is_some_and(|at| now.saturating_duration_since(at) < LEASE_RETRY_BACKOFF);
         if pausing {
             return;
         }
         if self.duty().is_some() {
-            let ends = runs_until.unwrap_or(now);
-            if now + RENEWAL_RESERVE >= ends {
+            let expires_at = valid_until.unwrap_or(now);
+            if now + RENEWAL_MARGIN >= expires_at {
                 self.renew_lease(held).await;
             }
             return;
         }
         let peers = self.peers.live();
         let own_token = held.borrow().lease.token;
-        let filled = peers
+        let held_by_peer = peers
             .iter()
             .any(|peer| peer.status().promotion_token.is_some_and(|token| token > own_token));
         let names = self.peers.active_names(false);
-        let rank = rendezvous::rank(DUTY_SUBJECT, self.name(), names.iter().map(String::as_str));
-        if filled || rank > 0 {
+        let rank = rendezvous::rank(
+            COORDINATOR_ELECTION_KEY,
+            self.name(),
+            names.iter().map(String::as_str),
+        );
+        if held_by_peer || rank > 0 {
             *vacant_since = None;
             return;
         }
         let since = *vacant_since.get_or_insert(now);
-        if now.saturating_duration_since(since) >= VACANCY_TIME {
+        if now.saturating_duration_since(since) >= VACANCY_GRACE_PERIOD {
             self.acquire_lease(held).await;
         }
     }
 
     async fn acquire_lease(&self, held: &RefCell<HeldLease>) {
-        held.borrow_mut().tried_at = Some(self.now());
+        held.borrow_mut().attempted_at = Some(self.now());
         let view = match self.platform.read_lease().await {
             Ok(view) => view,
             Err(error) => {
@@ -132,26 +137,29 @@
             }
         };
         let current = view.lease.unwrap_or_default();
-        let own = current.holder == self.name();
-        if !own && current.ends_ms > view.now_ms {
+        let is_own = current.holder == self.name();
+        if !is_own && current.ends_ms > view.now_ms {
             // The store's clock tells when the lease of another instance ends.
-            let left = Duration::from_millis(current.ends_ms - view.now_ms);
-            held.borrow_mut().tried_at = Some(self.now() + left.saturating_sub(LEASE_PAUSE));
+            let remaining = Duration::from_millis(current.ends_ms - view.now_ms);
+            held.borrow_mut().attempted_at =
+                Some(self.now() + remaining.saturating_sub(LEASE_RETRY_BACKOFF));
             return;
         }
         self.write_lease(held, view.version, view.now_ms, current.token + 1).await;
     }
 
     async fn renew_lease(&self, held: &RefCell<HeldLease>) {
-        let (version, token, ends_ms, runs_until) = {
+        let (version, token, ends_ms, valid_until) = {
             let held = held.borrow();
-            (held.version, held.lease.token, held.lease.ends_ms, held.runs_until)
+            (held.version, held.lease.token, held.lease.ends_ms, held.valid_until)
         };
         let now = self.now();
         // The store's time now, at least: the lease ends there when it ends here, or later.
-        let left = runs_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
-        let over = runs_until.map_or(Duration::ZERO, |until| now.saturating_duration_since(until));
-        let store_now = (ends_ms + millis(over)).saturating_sub(millis(left));
+        let remaining =
+            valid_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
+        let overdue =
+            valid_until.map_or(Duration::ZERO, |until| now.saturating_duration_since(until));
+        let store_now = (ends_ms + millis(overdue)).saturating_sub(millis(remaining));
         self.write_lease(held, version, store_now, token).await;
     }
 
@@ -163,51 +171,51 @@
         token: u64,
     ) {
         let asked_at = self.now();
-        held.borrow_mut().tried_at = Some(asked_at);
+        held.borrow_mut().attempted_at = Some(asked_at);
         let lease = PromotionLease {
             holder: self.name().to_owned(),
             incarnation: self.settings.record.incarnation,
             token,
-            ends_ms: store_ms + millis(LEASE_TIME),
+            ends_ms: store_ms + millis(LEASE_TTL),
         };
         match self.platform.write_lease(version, &lease).await {
             Ok(LeaseWrite::Written { version, .. }) => {
                 let mut held = held.borrow_mut();
-                held.spent &= held.lease.token == token;
+                held.token_used &= held.lease.token == token;
                 held.lease = lease;
                 held.version = version;
-                held.runs_until = Some(asked_at + LEASE_TIME);
-                held.tried_at = None;
+                held.valid_until = Some(asked_at + LEASE_TTL);
+                held.attempted_at = None;
                 self.set_duty(Some(token));
             }
-            Ok(LeaseWrite::Conflict) => self.lose_duty(held, "another instance wrote the lease"),
+            Ok(LeaseWrite::Conflict) => self.drop_lease(held, "another instance wrote the lease"),
             Err(error) => {
                 // The write may have been carried out; the version tells at the next try.
                 log_event!(LogEvent::DutyRefused, "step=write cause=\"{error}\"");
-                self.check_lapsed(held);
+                self.check_expiry(held);
             }
         }
     }
 
     /// Gives the duty up if another instance that reaches the store may have taken it.
-    fn check_lapsed(&self, held: &RefCell<HeldLease>) {
-        let lapsed = held.borrow().runs_until.is_none_or(|until| self.now() > until);
+    fn check_expiry(&self, held: &RefCell<HeldLease>) {
+        let expired = held.borrow().valid_until.is_none_or(|until| self.now() > until);
         let replaced = self.peers.live().iter().any(|peer| peer.status().store_reachable);
-        if lapsed && replaced {
-            self.lose_duty(held, "the lease ran out");
+        if expired && replaced {
+            self.drop_lease(held, "the lease ran out");
         }
     }
 
-    fn lose_duty(&self, held: &RefCell<HeldLease>, cause: &str) {
+    fn drop_lease(&self, held: &RefCell<HeldLease>, cause: &str) {
         if self.duty().is_some() {
             log_event!(LogEvent::DutyRefused, "step=keep cause=\"{cause}\"");
         }
-        held.borrow_mut().runs_until = None;
+        held.borrow_mut().valid_until = None;
         self.set_duty(None);
     }
 
     /// Ends the lease early, so that another instance can take the duty at once.
-    async fn give_up_duty(&self, held: &RefCell<HeldLease>) {
+    async fn release_lease(&self, held: &RefCell<HeldLease>) {
         if self.duty().is_none() {
             return;
         }
@@ -222,7 +230,7 @@
     }
 
     /// Tells whether a service's leader is lost or leaves, as far as anybody noticed.
-    fn is_suspect(&self, service: &str, machine: &RefCell<TakeoverMachine>) -> bool {
+    fn is_leader_suspect(&self, service: &str, machine: &RefCell<TakeoverMachine>) -> bool {
         let now = self.now();
         let directory = self.directory.borrow();
         if directory.members(service).is_empty() {
@@ -231,9 +239,9 @@
         let suspected = match directory.leader(service, now) {
             None => true,
             Some(leader) => {
-                let stays = directory.endpoint(&leader).is_some_and(|entry| entry.is_active());
+                let active = directory.endpoint(&leader).is_some_and(|entry| entry.is_active());
                 let failing = |since: Instant| now.saturating_duration_since(since) >= FAILING_TIME;
-                !stays
+                !active
                     || self.holder.failing_since(&leader).is_some_and(failing)
                     || self
                         .peers
@@ -246,7 +254,7 @@
     }
 
     /// Probes the members of a service and replaces its leader if it is lost or leaves.
-    async fn weigh_takeover(
+    async fn evaluate_failover(
         self: &Rc<Self>,
         service: &str,
         machine: &RefCell<TakeoverMachine>,
@@ -260,31 +268,37 @@
             let leader = directory.leader(service, self.now());
             (leader, directory.members(service).to_vec(), synchronous)
         };
-        let witnessed = async {
+        let probed_indirectly = async {
             match &leader {
-                Some(leader) => self.ask_witnesses(leader).await,
+                Some(leader) => self.probe_indirectly(leader).await,
                 None => false,
             }
         };
-        let (reports, witnessed) = tokio::join!(self.probe_members(&members), witnessed);
+        let (reports, probed_indirectly) =
+            tokio::join!(self.probe_members(&members), probed_indirectly);
         let now = self.now();
-        let leading = self.note_reports(&members, &reports);
+        let leading = self.record_reports(&members, &reports);
         let leader = leading.or(leader);
-        let place = leader.as_ref().and_then(|name| members.iter().position(|other| other == name));
-        let answered = place.is_some_and(|index| reports[index].is_some());
-        machine.borrow_mut().note_round(answered || witnessed, now);
+        let leader_index =
+            leader.as_ref().and_then(|name| members.iter().position(|other| other == name));
+        let answered = leader_index.is_some_and(|index| reports[index].is_some());
+        machine.borrow_mut().note_round(answered || probed_indirectly, now);
         let step = {
             let directory = self.directory.borrow();
-            let outlook = |(name, report): (&String, &Option<MemberReport>)| {
-                let stays = directory.endpoint(name).is_some_and(|entry| entry.is_active());
-                (name.clone(), stays, *report)
+            let observation = |(name, report): (&String, &Option<MemberReport>)| {
+                let active = directory.endpoint(name).is_some_and(|entry| entry.is_active());
+                (name.clone(), active, *report)
             };
-            let outlooks: Vec<_> = members.iter().zip(&reports).map(outlook).collect();
-            let borrowed: Vec<MemberOutlook<'_>> = outlooks
+            let observations: Vec<_> = members.iter().zip(&reports).map(observation).collect();
+            let borrowed: Vec<MemberOutlook<'_>> = observations
                 .iter()
-                .map(|(name, stays, report)| MemberOutlook { name, stays: *stays, report: *report })
+                .map(|(name, active, report)| MemberOutlook {
+                    name,
+                    stays: *active,
+                    report: *report,
+                })
                 .collect();
-            machine.borrow().weigh(place, &borrowed, synchronous)
+            machine.borrow().weigh(leader_index, &borrowed, synchronous)
         };
         if let TakeoverStep::Promote(index, cause) = step {
             let (name, was) = (&members[index], leader.as_deref().unwrap_or("none"));
@@ -293,7 +307,7 @@
                 "service={service} endpoint={name} cause={cause:?} was={was} reports={reports:?}"
             );
             machine.borrow_mut().note_call(now);
-            if self.call_promotion(service, name, held).await {
+            if self.request_promotion(service, name, held).await {
                 self.await_leader(name).await;
             }
         }
@@ -301,11 +315,11 @@
 
     /// Looks for a promoted member to lead, so that others learn of it without the store.
     async fn await_leader(&self, endpoint: &str) {
-        for _ in 0..PROMOTION_LOOKS {
-            sleep(PROMOTION_PAUSE).await;
+        for _ in 0..MAX_PROMOTION_POLLS {
+            sleep(PROMOTION_POLL_INTERVAL).await;
             let members = [endpoint.to_owned()];
             let reports = [self.probe_member(endpoint).await];
-            if self.note_reports(&members, &reports).is_some() {
+            if self.record_reports(&members, &reports).is_some() {
                 self.announced.notify_waiters();
                 return;
             }
@@ -313,7 +327,11 @@
     }
 
     /// Learns from members which of them leads in the newest term.
-    fn note_reports(&self, members: &[String], reports: &[Option<MemberReport>]) -> Option<String> {
+    fn record_reports(
+        &self,
+        members: &[String],
+        reports: &[Option<MemberReport>],
+    ) -> Option<String> {
         let leading = members.iter().zip(reports).filter_map(|(name, report)| {
             let report = report.filter(|report| report.leads)?;
             Some((report.term, name))
@@ -350,50 +368,50 @@
     }
 
     /// Asks other instances, in other availability zones first, whether they reach a member.
-    async fn ask_witnesses(&self, endpoint: &str) -> bool {
+    async fn probe_indirectly(&self, endpoint: &str) -> bool {
         let mut peers = self.peers.live();
         let zone = &self.settings.record.zone;
         peers.sort_by_key(|peer| (peer.record.zone == *zone, peer.record.name.clone()));
-        for peer in peers.into_iter().take(WITNESSES) {
-            if peer.probe(endpoint, WITNESS_TIMEOUT).await == Some(true) {
+        for peer in peers.into_iter().take(INDIRECT_PROBES) {
+            if peer.probe(endpoint, INDIRECT_PROBE_TIMEOUT).await == Some(true) {
                 return true;
             }
         }
         false
     }
 
-    async fn call_promotion(
+    async fn request_promotion(
         &self,
         service: &str,
         endpoint: &str,
         held: &RefCell<HeldLease>,
     ) -> bool {
-        if held.borrow().spent {
-            let (version, token, runs_until) = {
+        if held.borrow().token_used {
+            let (version, token, valid_until) = {
                 let held = held.borrow();
-                (held.version, held.lease.token + 1, held.runs_until)
+                (held.version, held.lease.token + 1, held.valid_until)
             };
-            let left = runs_until
+            let remaining = valid_until
                 .map_or(Duration::ZERO, |until| until.saturating_duration_since(self.now()));
-            let store_now = held.borrow().lease.ends_ms.saturating_sub(millis(left));
+            let store_now = held.borrow().lease.ends_ms.saturating_sub(millis(remaining));
             self.write_lease(held, version, store_now, token).await;
         }
         let Some(token) = self.duty() else {
             return false;
         };
-        let called = self.platform.promote(service, endpoint, self.name(), token).await;
-        let outcome = match &called {
+        let promoted = self.platform.promote(service, endpoint, self.name(), token).await;
+        let outcome = match &promoted {
             Ok(PromotionAnswer::Accepted) => "accepted".to_owned(),
             Ok(PromotionAnswer::Rejected) => {
-                held.borrow_mut().spent = true;
+                held.borrow_mut().token_used = true;
                 "rejected".to_owned()
             }
             Err(error) => {
-                held.borrow_mut().spent = true;
+                held.borrow_mut().token_used = true;
                 error.to_string()
             }
         };
-        let label = match &called {
+        let label = match &promoted {
             Ok(PromotionAnswer::Accepted) => "accepted",
             Ok(PromotionAnswer::Rejected) => "rejected",
             Err(_) => "unanswered",
@@ -403,7 +421,7 @@
             LogEvent::PromotionEnded,
             "service={service} endpoint={endpoint} token={token} outcome=\"{outcome}\""
         );
-        matches!(called, Ok(PromotionAnswer::Accepted))
+        matches!(promoted, Ok(PromotionAnswer::Accepted))
     }
 }
 
--- a/crates/engine/src/interface.rs
+++ b/crates/engine/src/interface.rs
@@ -120,13 +120,13 @@
         table: WatchedTable,
     ) -> impl Future<Output = Result<TableRows, PlatformError>>;
 
-    /// Lets the store wait up to `wait` for changes after `version`; gives up after `limit`.
+    /// Lets the store wait up to `wait` for changes after `version`; gives up after `timeout`.
     fn poll_changes(
         &self,
         table: WatchedTable,
         version: u64,
         wait: Duration,
-        limit: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Result<TableRows, PlatformError>>;
 
     /// Reads the registered instances.
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -14,9 +14,9 @@
 use crate::tables::StoredRow;
 
 /// Longest message, in bytes; holds a document or an answer of the longest kind.
-const MESSAGE_LIMIT: usize = 4 << 20;
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
 /// Bytes of the length before a message.
-const LENGTH_BYTES: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Message that cannot be read.
 #[derive(Debug, Snafu)]
@@ -29,7 +29,7 @@
     },
     /// The content does not fit the format.
     #[snafu(display("message cannot be decoded: {source}"))]
-    Undecodable {
+    Codec {
         /// Cause reported by the codec.
         source: postcard::Error,
     },
@@ -299,31 +299,30 @@
 /// Appends a message to a buffer.
 pub fn encode<M: Serialize>(message: &M, out: &mut Vec<u8>) -> Result<(), MessageError> {
     let start = out.len();
-    out.extend_from_slice(&[0; LENGTH_BYTES]);
+    out.extend_from_slice(&[0; LENGTH_PREFIX_BYTES]);
     let filled = postcard::to_extend(message, std::mem::take(out));
-    *out = filled.map_err(|source| MessageError::Undecodable { source })?;
-    let length = out.len() - start - LENGTH_BYTES;
-    let stated = u32::try_from(length).map_err(|_| MessageError::TooLong { length })?;
-    out[start..start + LENGTH_BYTES].copy_from_slice(&stated.to_le_bytes());
+    *out = filled.map_err(|source| MessageError::Codec { source })?;
+    let length = out.len() - start - LENGTH_PREFIX_BYTES;
+    let prefix = u32::try_from(length).map_err(|_| MessageError::TooLong { length })?;
+    out[start..start + LENGTH_PREFIX_BYTES].copy_from_slice(&prefix.to_le_bytes());
     Ok(())
 }
 
 /// Takes the next whole message from a buffer.
 pub fn decode<M: for<'a> Deserialize<'a>>(input: &mut BytesMut) -> Result<Option<M>, MessageError> {
-    let Some(stated) = input.first_chunk::<LENGTH_BYTES>() else {
+    let Some(prefix) = input.first_chunk::<LENGTH_PREFIX_BYTES>() else {
         return Ok(None);
     };
-    let length = u32::from_le_bytes(*stated) as usize;
-    if length > MESSAGE_LIMIT {
+    let length = u32::from_le_bytes(*prefix) as usize;
+    if length > MAX_MESSAGE_BYTES {
         return Err(MessageError::TooLong { length });
     }
-    if input.len() < LENGTH_BYTES + length {
+    if input.len() < LENGTH_PREFIX_BYTES + length {
         return Ok(None);
     }
-    input.advance(LENGTH_BYTES);
+    input.advance(LENGTH_PREFIX_BYTES);
     let body = input.split_to(length);
-    let message =
-        postcard::from_bytes(&body).map_err(|source| MessageError::Undecodable { source })?;
+    let message = postcard::from_bytes(&body).map_err(|source| MessageError::Codec { source })?;
     Ok(Some(message))
 }
 
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -23,17 +23,17 @@
 /// Time in which a connection to another instance must open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Pause between attempts to reach another instance.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(250);
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(250);
 /// Time between looks at which instances must be asked for a sign of life.
-const PING_TICK: Duration = Duration::from_millis(200);
+const PING_INTERVAL: Duration = Duration::from_millis(200);
 /// Time without a sign of life after which an instance with no call outstanding is asked for one.
-const IDLE_PERIOD: Duration = Duration::from_millis(1_000);
+const IDLE_PING_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Time without a ping after which the caller's side of a connection counts as gone.
-const CALLER_LIMIT: Duration = Duration::from_millis(2_500);
+const INBOUND_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time for which an instance that cannot be reached stays registered.
-const MOURNING_TIME: Duration = Duration::from_secs(20);
+const UNREACHABLE_PEER_TTL: Duration = Duration::from_secs(20);
 /// Bytes read at once.
-const READ_BYTES: usize = 8_192;
+const READ_CHUNK_BYTES: usize = 8_192;
 
 /// Other instances.
 #[derive(Debug)]
@@ -66,8 +66,8 @@
     /// Returns the names of the instances that answer and stay, this one included.
     pub fn active_names(&self, leaving: bool) -> Vec<String> {
         let links = self.links.borrow();
-        let stays = links.values().filter(|link| link.is_live() && !link.status.borrow().leaving);
-        let mut names: Vec<String> = stays.map(|link| link.record.name.clone()).collect();
+        let active = links.values().filter(|link| link.is_live() && !link.status.borrow().leaving);
+        let mut names: Vec<String> = active.map(|link| link.record.name.clone()).collect();
         if !leaving || names.is_empty() {
             names.push(self.own.name.clone());
         }
@@ -94,8 +94,8 @@
     pub fn connection_owners(&self, endpoint: &str) -> Vec<String> {
         let directory = self.directory.borrow();
         let zone = directory.endpoint(endpoint).map_or("", |entry| entry.record.zone.as_str());
-        let mut holders = self.peers.ordered_owners(endpoint, zone, self.is_leaving());
-        holders.sort_by_key(|name| {
+        let mut owners = self.peers.ordered_owners(endpoint, zone, self.is_leaving());
+        owners.sort_by_key(|name| {
             if name == self.name() {
                 return self.holder.failing_since(endpoint).is_some();
             }
@@ -104,41 +104,41 @@
                 link.status.borrow().unreachable_endpoints.iter().any(|name| name == endpoint)
             })
         });
-        holders
+        owners
     }
 
     /// Connects to an instance that was heard of.
-    pub fn meet(self: &Rc<Self>, record: InstanceRecord) {
+    pub fn connect_peer(self: &Rc<Self>, record: InstanceRecord) {
         if record.name == self.name() {
             return;
         }
-        let known = self.peers.link(&record.name);
-        if known.as_ref().is_some_and(|link| link.record == record) {
+        let existing = self.peers.link(&record.name);
+        if existing.as_ref().is_some_and(|link| link.record == record) {
             return;
         }
-        if let Some(link) = known {
+        if let Some(link) = existing {
             link.dropped.set(true);
             close_link(&link);
         }
         let link = Rc::new(PeerLink::new(record, self.now()));
         self.peers.links.borrow_mut().insert(link.record.name.clone(), link.clone());
         let node = self.clone();
-        tokio::task::spawn_local(async move { node.keep_link(link).await });
+        tokio::task::spawn_local(async move { node.maintain_link(link).await });
     }
 
     /// Keeps a connection to another instance open until it is gone for good.
-    async fn keep_link(self: Rc<Self>, link: Rc<PeerLink>) {
+    async fn maintain_link(self: Rc<Self>, link: Rc<PeerLink>) {
         while !link.dropped.get() {
             let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(link.record.address)).await;
             if let Ok(Ok(stream)) = opened {
-                self.serve_link(&link, stream).await;
+                self.run_link(&link, stream).await;
             }
             let now = self.now();
             let lost_at = link.lost_at.get().unwrap_or(now);
-            if now.saturating_duration_since(lost_at) > MOURNING_TIME {
+            if now.saturating_duration_since(lost_at) > UNREACHABLE_PEER_TTL {
                 break;
             }
-            sleep(RECONNECT_PAUSE).await;
+            sleep(RECONNECT_BACKOFF).await;
         }
         if !link.dropped.get() {
             self.peers.links.borrow_mut().remove(&link.record.name);
@@ -146,7 +146,7 @@
         }
     }
 
-    async fn serve_link(&self, link: &Rc<PeerLink>, stream: TcpStream) {
+    async fn run_link(&self, link: &Rc<PeerLink>, stream: TcpStream) {
         // A socket without the option still works, only with more delay.
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
@@ -174,9 +174,9 @@
     /// instances most of them have nothing to say to each other.
     pub async fn ping_peers(self: Rc<Self>) {
         loop {
-            sleep(PING_TICK).await;
+            sleep(PING_INTERVAL).await;
             let now = self.now();
-            let needs_proof =
+            let needs_validation =
                 self.withdrawal_limit().is_some_and(|limit| self.proof_is_older(limit / 2));
             let links: Vec<Rc<PeerLink>> = self.peers.links.borrow().values().cloned().collect();
             for link in links {
@@ -190,16 +190,20 @@
                     output.close();
                     continue;
                 }
-                let quiet =
-                    link.heard_at.get().is_none() || older(link.heard_at.get(), IDLE_PERIOD);
-                if quiet || needs_proof || link.has_calls() {
-                    let number = link.call_number();
+                let idle =
+                    link.heard_at.get().is_none() || older(link.heard_at.get(), IDLE_PING_INTERVAL);
+                if idle || needs_validation || link.has_calls() {
+                    let ping_id = link.call_number();
                     output.push(&PeerRequest::Ping {
-                        ping_id: number,
+                        ping_id,
                         known_version: link.status_version.get(),
                     });
-                    if link.proof_ping.get().is_none_or(|(_, at)| older(Some(at), IDLE_PERIOD)) {
-                        link.proof_ping.set(Some((number, now)));
+                    if link
+                        .proof_ping
+                        .get()
+                        .is_none_or(|(_, at)| older(Some(at), IDLE_PING_INTERVAL))
+                    {
+                        link.proof_ping.set(Some((ping_id, now)));
                     }
                     link.asked_at.set(link.asked_at.get().or(Some(now)));
                 }
@@ -215,7 +219,7 @@
     ) {
         let mut input = BytesMut::new();
         loop {
-            input.reserve(READ_BYTES);
+            input.reserve(READ_CHUNK_BYTES);
             match reader.read_buf(&mut input).await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
@@ -223,12 +227,11 @@
             loop {
                 match decode::<PeerReply>(&mut input) {
                     Ok(Some(reply)) => {
-                        self.hear(link, output);
-                        if let PeerReply::Pong {
-                            ping_id: number, validation: Some(proof), ..
-                        } = &reply
+                        self.record_response(link, output);
+                        if let PeerReply::Pong { ping_id, validation: Some(validation), .. } =
+                            &reply
                         {
-                            self.hear_proof(link, *number, *proof);
+                            self.record_validation(link, *ping_id, *validation);
                         }
                         link.take_reply(reply);
                     }
@@ -241,11 +244,11 @@
                 }
             }
             let status = link.status.borrow();
-            self.hear_status(&status);
+            self.record_leaders(&status);
         }
     }
 
-    fn hear(&self, link: &PeerLink, output: &Rc<OutputQueue>) {
+    fn record_response(&self, link: &PeerLink, output: &Rc<OutputQueue>) {
         link.heard_at.set(Some(self.now()));
         link.asked_at.set(None);
         if link.lost_at.take().is_some() {
@@ -255,8 +258,8 @@
     }
 
     /// Takes another instance's proof of its document, counted from before it was asked.
-    fn hear_proof(&self, link: &PeerLink, number: u32, proof: DocumentValidation) {
-        let Some((_, asked_at)) = link.proof_ping.get().filter(|(asked, _)| *asked == number)
+    fn record_validation(&self, link: &PeerLink, ping_id: u32, validation: DocumentValidation) {
+        let Some((_, asked_at)) = link.proof_ping.get().filter(|(asked, _)| *asked == ping_id)
         else {
             return;
         };
@@ -264,23 +267,23 @@
         let [version, _] = self.tables.borrow().versions();
         let mut confirmation = self.confirmation.borrow_mut();
         confirmation.adopt(version);
-        let word = PeerWord::Answered {
-            version: proof.version,
-            proof_age: Some(Duration::from_millis(proof.age_ms.into())),
+        let answer = PeerWord::Answered {
+            version: validation.version,
+            proof_age: Some(Duration::from_millis(validation.age_ms.into())),
             store_down: false,
         };
-        confirmation.record_peer(number.into(), asked_at, word);
+        confirmation.record_peer(ping_id.into(), asked_at, answer);
     }
 
     /// Returns the proof of the own document for other instances.
-    fn document_proof(&self) -> Option<DocumentValidation> {
+    fn document_validation(&self) -> Option<DocumentValidation> {
         self.settings.withdrawal_bound?;
         let confirmation = self.confirmation.borrow();
         let age = confirmation.proof_age(self.now())?;
         Some(DocumentValidation { version: confirmation.version(), age_ms: millis(age) + 1 })
     }
 
-    fn hear_status(&self, status: &InstanceStatus) {
+    fn record_leaders(&self, status: &InstanceStatus) {
         let mut directory = self.directory.borrow_mut();
         for (service, endpoint, term) in &status.leaders {
             if directory.record_leader(service, endpoint, *term) {
@@ -302,7 +305,7 @@
                 }
                 Err(error) => {
                     log_event!(LogEvent::PeerLost, "cause=\"accept failed: {error}\"");
-                    sleep(RECONNECT_PAUSE).await;
+                    sleep(RECONNECT_BACKOFF).await;
                 }
             }
         }
@@ -313,11 +316,11 @@
         let (reader, writer) = stream.into_split();
         let output = Rc::new(OutputQueue::default());
         let origin = self.holder.open_origin();
-        let teller = StatusTeller::default();
+        let publisher = StatusTeller::default();
         tokio::select! {
             () = output.drain(writer) => {}
-            () = self.read_peer(origin, &output, &teller, reader) => {}
-            () = self.announce_status(&output, &teller) => {}
+            () = self.read_peer(origin, &output, &publisher, reader) => {}
+            () = self.push_status(&output, &publisher) => {}
         }
         output.close();
         self.close_origin(origin);
@@ -327,14 +330,14 @@
         self: &Rc<Self>,
         origin: u64,
         output: &Rc<OutputQueue>,
-        teller: &StatusTeller,
+        publisher: &StatusTeller,
         mut reader: OwnedReadHalf,
     ) {
         let mut input = BytesMut::new();
         loop {
-            input.reserve(READ_BYTES);
+            input.reserve(READ_CHUNK_BYTES);
             // The other side pings; without a sign of life its transactions must not linger.
-            match timeout(CALLER_LIMIT, reader.read_buf(&mut input)).await {
+            match timeout(INBOUND_IDLE_TIMEOUT, reader.read_buf(&mut input)).await {
                 Ok(Ok(0) | Err(_)) | Err(_) => return,
                 Ok(Ok(_)) => {}
             }
@@ -349,30 +352,35 @@
                 };
                 match request {
                     PeerRequest::Ping { ping_id, known_version } => {
-                        teller.refresh(self.status());
-                        teller.tell(output, ping_id, known_version, self.document_proof());
+                        publisher.refresh(self.status());
+                        publisher.tell(output, ping_id, known_version, self.document_validation());
                     }
-                    other => self.take_request(origin, output, other),
+                    other => self.handle_request(origin, output, other),
                 }
             }
         }
     }
 
     /// Tells the status as soon as it changes in a way that others must know at once.
-    async fn announce_status(&self, output: &OutputQueue, teller: &StatusTeller) {
+    async fn push_status(&self, output: &OutputQueue, publisher: &StatusTeller) {
         loop {
             self.announced.notified().await;
-            let known = teller.version.get();
-            if teller.refresh(self.status()) {
-                teller.tell(output, 0, known, None);
+            let previous_version = publisher.version.get();
+            if publisher.refresh(self.status()) {
+                publisher.tell(output, 0, previous_version, None);
             }
         }
     }
 
-    fn take_request(self: &Rc<Self>, origin: u64, output: &Rc<OutputQueue>, request: PeerRequest) {
+    fn handle_request(
+        self: &Rc<Self>,
+        origin: u64,
+        output: &Rc<OutputQueue>,
+        request: PeerRequest,
+    ) {
         let (node, output) = (self.clone(), output.clone());
         match request {
-            PeerRequest::Hello(record) => self.meet(record),
+            PeerRequest::Hello(record) => self.connect_peer(record),
             PeerRequest::Ping { .. } => {}
             PeerRequest::Execute { call_id, body } => {
                 tokio::task::spawn_local(async move {
@@ -382,8 +390,8 @@
             }
             PeerRequest::Release { transaction_id } => self.hold_release(origin, transaction_id),
             PeerRequest::Admit { call_id, team, priority, max_wait_ms } => {
-                let patience = Duration::from_millis(max_wait_ms.into());
-                let answer = self.count_here(&team, priority, patience);
+                let max_wait = Duration::from_millis(max_wait_ms.into());
+                let answer = self.count_here(&team, priority, max_wait);
                 output.push(&PeerReply::Admit { call_id, decision: answer });
             }
             PeerRequest::Probe { call_id, endpoint } => {
@@ -392,11 +400,11 @@
                     output.push(&PeerReply::Probe { call_id, reached });
                 });
             }
-            PeerRequest::Rows { table, rows } => self.take_rows(table, rows),
+            PeerRequest::Rows { table, rows } => self.merge_rows(table, rows),
             PeerRequest::Table { call_id, table } => {
                 let mut tables = self.tables.borrow_mut();
-                let copy = tables.table(table);
-                let (rows, version) = (copy.rows(), copy.version());
+                let cache = tables.table(table);
+                let (rows, version) = (cache.rows(), cache.version());
                 output.push(&PeerReply::Table { call_id, rows, version });
             }
         }
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -20,17 +20,17 @@
 use crate::record::{RouteConsistency, RouteRecord};
 
 /// Places at which one statement is tried.
-const TRIED_PLACES: usize = 24;
+const MAX_ATTEMPTS: usize = 24;
 /// Pause before a statement is tried again at a service that has no leader yet.
-const LEADER_PAUSE: Duration = Duration::from_millis(25);
+const NO_LEADER_BACKOFF: Duration = Duration::from_millis(25);
 /// Pause before a statement is tried again after an endpoint was full.
-const FULL_PAUSE: Duration = Duration::from_millis(8);
+const BUSY_BACKOFF: Duration = Duration::from_millis(8);
 /// Part of the target latency that may pass before a statement starts.
-const START_PART: f64 = 0.75;
+const START_TIMEOUT_FRACTION: f64 = 0.75;
 /// Part of the target latency for which an operation waits for the limit of its team.
-const LIMIT_PART: f64 = 0.4;
+const ADMISSION_TIMEOUT_FRACTION: f64 = 0.4;
 /// Least time to state when a statement is refused.
-const LEAST_RETRY: Duration = Duration::from_millis(25);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(25);
 
 /// Holder and endpoint of an open transaction.
 #[derive(Clone, Debug)]
@@ -89,27 +89,27 @@
 
 /// Way in which a statement is sent to an endpoint.
 #[derive(Default)]
-struct StatementShape {
+struct StatementBatch {
     /// Opens a transaction; must succeed before the rest is sent.
-    opening: Vec<u8>,
+    begin_bytes: Vec<u8>,
     bytes: Vec<u8>,
     /// Statements in `bytes`.
     count: u8,
     /// Answer that is the caller's.
     answer: u8,
-    proof: Option<u8>,
-    keeps: bool,
-    repeatable: bool,
+    confirming_answer: Option<u8>,
+    keep_pinned: bool,
+    retryable: bool,
 }
 
 /// What one try brought.
-enum TryOutcome {
+enum AttemptOutcome {
     Done(StatementResult),
     /// Did not run; another try makes sense after a pause, at the same or another endpoint.
-    Again {
+    Retry {
         code: RefusalCode,
         cause: &'static str,
-        pause: Duration,
+        backoff: Duration,
     },
     /// Sent and not answered.
     Lost,
@@ -125,57 +125,65 @@
         if context.plan.pinned {
             return self.run_pinned(context, pinned).await;
         }
-        let patience = context.route.target_latency.mul_f64(LIMIT_PART);
-        if let Err(wait) = self.admit(context.team, context.route.priority, patience).await {
+        let max_wait = context.route.target_latency.mul_f64(ADMISSION_TIMEOUT_FRACTION);
+        if let Err(wait) = self.admit(context.team, context.route.priority, max_wait).await {
             return not_run("over the limit of the team", wait);
         }
         // The caller's pause after the opening of a transaction is not the statement's wait.
         let arrived_at = context.arrived_at;
-        let soft = arrived_at + context.route.target_latency.mul_f64(START_PART);
+        let latest_start =
+            arrived_at + context.route.target_latency.mul_f64(START_TIMEOUT_FRACTION);
         let deadline = arrived_at + context.route.statement_timeout;
         let mut failed: Vec<String> = Vec::new();
-        let mut last = (RefusalCode::Busy, "no endpoint", LEAST_RETRY);
-        for attempt in 0..TRIED_PLACES {
+        let mut last = (RefusalCode::Busy, "no endpoint", MIN_RETRY_DELAY);
+        for attempt in 0..MAX_ATTEMPTS {
             let now = self.now();
-            if attempt > 0 && now >= soft {
+            if attempt > 0 && now >= latest_start {
                 break;
             }
-            let Some((endpoint, leads, needed)) = self.choose(context, &failed, now) else {
+            let Some((endpoint, leads, required)) = self.choose_endpoint(context, &failed, now)
+            else {
                 if failed.is_empty() {
-                    sleep(LEADER_PAUSE).await;
+                    sleep(NO_LEADER_BACKOFF).await;
                 }
                 failed.clear();
                 continue;
             };
-            match self.try_at(context, &endpoint, leads, needed, soft, deadline).await {
-                TryOutcome::Done(result) => return result,
-                TryOutcome::Lost if context.plan.changes_data() => {
+            match self
+                .execute_attempt(context, &endpoint, leads, required, latest_start, deadline)
+                .await
+            {
+                AttemptOutcome::Done(result) => return result,
+                AttemptOutcome::Lost if context.plan.changes_data() => {
                     let explanation = "the answer of the member is lost".to_owned();
                     return failure(RefusalCode::Unknown, explanation);
                 }
-                TryOutcome::Lost => {
-                    last = (RefusalCode::Aborted, "the answer of the member is lost", LEAST_RETRY);
+                AttemptOutcome::Lost => {
+                    last =
+                        (RefusalCode::Aborted, "the answer of the member is lost", MIN_RETRY_DELAY);
                     self.log_retry(context, &endpoint, "answer_lost", attempt);
                     failed.push(endpoint);
                 }
-                TryOutcome::Again { code, cause, pause } => {
-                    last = (code, cause, pause);
+                AttemptOutcome::Retry { code, cause, backoff } => {
+                    last = (code, cause, backoff);
                     self.log_retry(context, &endpoint, cause, attempt);
-                    let leaderless = code == RefusalCode::ReadOnly;
+                    let no_leader = code == RefusalCode::ReadOnly;
                     failed.push(endpoint);
-                    let pause = if leaderless && failed.len() >= 2 { LEADER_PAUSE } else { pause };
+                    let backoff =
+                        if no_leader && failed.len() >= 2 { NO_LEADER_BACKOFF } else { backoff };
                     if failed.len() >= 2 || !context.plan.read_only {
-                        sleep(pause.min(soft.saturating_duration_since(self.now()))).await;
+                        sleep(backoff.min(latest_start.saturating_duration_since(self.now())))
+                            .await;
                     }
                 }
             }
         }
-        let (code, cause, pause) = last;
+        let (code, cause, backoff) = last;
         match code {
             RefusalCode::Aborted | RefusalCode::Failed | RefusalCode::Timeout => {
                 failure(code, cause.to_owned())
             }
-            _ => not_run(cause, pause),
+            _ => not_run(cause, backoff),
         }
     }
 
@@ -185,15 +193,16 @@
         context: &StatementContext<'_>,
         pinned: Option<&PinnedTransaction>,
     ) -> StatementResult {
-        let Some(place) = pinned else {
+        let Some(transaction) = pinned else {
             return failure(RefusalCode::Aborted, "the transaction is gone".to_owned());
         };
         let mut bytes = Vec::new();
         E::Codec::encode_statement(&mut bytes, context.request_id, None, context.text);
         let commits = context.plan.commits;
-        let shape =
-            StatementShape { bytes, count: 1, keeps: !commits, ..StatementShape::default() };
-        let mut call = self.build_call(context, &place.endpoint, shape, place.transaction_id);
+        let batch =
+            StatementBatch { bytes, count: 1, keep_pinned: !commits, ..StatementBatch::default() };
+        let mut call =
+            self.build_call(context, &transaction.endpoint, batch, transaction.transaction_id);
         call.pinned = true;
         call.setup_bytes.clear();
         for text in &context.pending_setup {
@@ -201,9 +210,9 @@
         }
         call.setup_count = u8::try_from(context.pending_setup.len()).unwrap_or(u8::MAX);
         call.answer_timeout_ms = millis(context.route.statement_timeout);
-        let reply = self.dispatch_to(&place.owner, call).await;
+        let reply = self.dispatch_to(&transaction.owner, call).await;
         match reply.outcome {
-            ExecuteOutcome::Answered(answers) => finish(answers, 0, None),
+            ExecuteOutcome::Answered(answers) => build_result(answers, 0, None),
             ExecuteOutcome::Lost if commits => {
                 failure(RefusalCode::Unknown, "the answer to the commit is lost".to_owned())
             }
@@ -215,7 +224,7 @@
     }
 
     /// Chooses the endpoint for the next try, with the position that a replica must have.
-    fn choose(
+    fn choose_endpoint(
         &self,
         context: &StatementContext<'_>,
         failed: &[String],
@@ -223,71 +232,74 @@
     ) -> Option<(String, bool, Option<LogPosition>)> {
         let directory = self.directory.borrow();
         let service = &context.route.service;
-        let is_new = |name: &String| !failed.contains(name);
+        let untried = |name: &String| !failed.contains(name);
         if !context.plan.read_only {
             let order = directory.write_candidates(service, now);
-            return order.into_iter().find(is_new).map(|endpoint| (endpoint, true, None));
+            return order.into_iter().find(untried).map(|endpoint| (endpoint, true, None));
         }
-        let needed = context.route.consistency.max_staleness().and_then(|stated_age| {
-            let marks = directory.watermarks(service)?;
-            let mark = marks.oldest_within(context.plan.began_at, stated_age)?;
+        let required = context.route.consistency.max_staleness().and_then(|max_staleness| {
+            let watermarks = directory.watermarks(service)?;
+            let watermark = watermarks.oldest_within(context.plan.began_at, max_staleness)?;
             let own = match context.route.consistency {
                 RouteConsistency::ReadYourWrites { .. } => context.session_state.own_commit(),
                 _ => None,
             };
-            Some(MarkRing::needed_position(mark, own))
+            Some(MarkRing::needed_position(watermark, own))
         });
         let zone = &self.settings.record.zone;
-        let order = directory.read_candidates(service, zone, needed, now);
-        let found = order.into_iter().find(|(name, _)| is_new(name));
-        match found {
-            Some((endpoint, leads)) => Some((endpoint, leads, needed)),
+        let order = directory.read_candidates(service, zone, required, now);
+        let replica = order.into_iter().find(|(name, _)| untried(name));
+        match replica {
+            Some((endpoint, leads)) => Some((endpoint, leads, required)),
             // The leader may be another member than this instance believes.
             None => {
                 let order = directory.write_candidates(service, now);
-                order.into_iter().find(is_new).map(|endpoint| (endpoint, true, None))
+                order.into_iter().find(untried).map(|endpoint| (endpoint, true, None))
             }
         }
     }
 
-    async fn try_at(
+    async fn execute_attempt(
         self: &Rc<Self>,
         context: &StatementContext<'_>,
         endpoint: &str,
         leads: bool,
-        needed: Option<LogPosition>,
-        soft: Instant,
+        required: Option<LogPosition>,
+        latest_start: Instant,
         deadline: Instant,
-    ) -> TryOutcome {
-        let shape = shape_statement::<E::Codec>(context, leads, needed);
-        let (answer, proof, keeps) = (shape.answer, shape.proof, shape.keeps);
-        let channel = if keeps { self.new_channel() } else { 0 };
-        let call = self.build_call(context, endpoint, shape, channel);
+    ) -> AttemptOutcome {
+        let batch = build_batch::<E::Codec>(context, leads, required);
+        let (answer, confirming_answer, keep_pinned) =
+            (batch.answer, batch.confirming_answer, batch.keep_pinned);
+        let transaction_id = if keep_pinned { self.new_channel() } else { 0 };
+        let call = self.build_call(context, endpoint, batch, transaction_id);
         let now = self.now();
-        let held = self.dispatch(call, soft, deadline).await;
-        match held.reply.outcome {
+        let routed = self.dispatch(call, latest_start, deadline).await;
+        match routed.reply.outcome {
             ExecuteOutcome::Answered(answers) => {
-                if let Some(proof) = proof.and_then(|index| answers.get(usize::from(index))) {
-                    self.learn_leader(endpoint, proof, now);
+                if let Some(confirming_answer) =
+                    confirming_answer.and_then(|index| answers.get(usize::from(index)))
+                {
+                    self.learn_leader(endpoint, confirming_answer, now);
                 }
-                let opened = PinnedTransaction {
-                    owner: held.holder,
+                let transaction = PinnedTransaction {
+                    owner: routed.holder,
                     endpoint: endpoint.to_owned(),
-                    transaction_id: channel,
+                    transaction_id,
                 };
-                judge(context, answers, answer, keeps.then_some(opened))
+                classify_answers(context, answers, answer, keep_pinned.then_some(transaction))
             }
-            ExecuteOutcome::NotSent { reason, retry_ms } => TryOutcome::Again {
+            ExecuteOutcome::NotSent { reason, retry_ms } => AttemptOutcome::Retry {
                 code: RefusalCode::Busy,
                 cause: reason.label(),
-                pause: match reason {
+                backoff: match reason {
                     NotSentReason::QueueDelay | NotSentReason::NoConnection => {
-                        Duration::from_millis(retry_ms.into()).max(FULL_PAUSE)
+                        Duration::from_millis(retry_ms.into()).max(BUSY_BACKOFF)
                     }
-                    _ => LEADER_PAUSE,
+                    _ => NO_LEADER_BACKOFF,
                 },
             },
-            ExecuteOutcome::Lost => TryOutcome::Lost,
+            ExecuteOutcome::Lost => AttemptOutcome::Lost,
         }
     }
 
@@ -295,8 +307,8 @@
         &self,
         context: &StatementContext<'_>,
         endpoint: &str,
-        shape: StatementShape,
-        channel: u32,
+        batch: StatementBatch,
+        transaction_id: u32,
     ) -> ExecuteCall {
         let version = context.session_state.setup_version();
         let mut setup_bytes = Vec::new();
@@ -313,20 +325,20 @@
         ExecuteCall {
             endpoint: endpoint.to_owned(),
             team: context.team.to_owned(),
-            transaction_id: channel,
+            transaction_id,
             pinned: false,
-            keep_pinned: shape.keeps,
+            keep_pinned: batch.keep_pinned,
             priority: context.route.priority,
             start_timeout_ms: 0,
             answer_timeout_ms: 0,
             setup_id: setup,
             setup_bytes,
             setup_count,
-            begin_bytes: shape.opening,
-            bytes: shape.bytes,
-            count: shape.count,
-            confirming_answer: shape.proof,
-            retryable: shape.repeatable,
+            begin_bytes: batch.begin_bytes,
+            bytes: batch.bytes,
+            count: batch.count,
+            confirming_answer: batch.confirming_answer,
+            retryable: batch.retryable,
         }
     }
 
@@ -353,72 +365,72 @@
 }
 
 /// Builds the bytes for an endpoint that leads or follows.
-fn shape_statement<C: WireCodec>(
+fn build_batch<C: WireCodec>(
     context: &StatementContext<'_>,
     leads: bool,
-    needed: Option<LogPosition>,
-) -> StatementShape {
+    required: Option<LogPosition>,
+) -> StatementBatch {
     let plan = context.plan;
-    let mut shape = StatementShape { count: 1, ..StatementShape::default() };
+    let mut batch = StatementBatch { count: 1, ..StatementBatch::default() };
     let statement = |bytes: &mut Vec<u8>, after| {
         C::encode_statement(bytes, context.request_id, after, context.text);
     };
     if plan.opens {
         // Only a leader accepts the plain form, so it proves the lead for the whole transaction.
         let begin = if leads { ControlStatement::Begin } else { ControlStatement::BeginRead };
-        C::encode_control(&mut shape.opening, begin);
-        statement(&mut shape.bytes, if leads || plan.commits { None } else { needed });
-        shape.answer = 1;
-        shape.proof = leads.then_some(0);
-        (shape.keeps, shape.repeatable) = (!plan.commits, !plan.commits);
+        C::encode_control(&mut batch.begin_bytes, begin);
+        statement(&mut batch.bytes, if leads || plan.commits { None } else { required });
+        batch.answer = 1;
+        batch.confirming_answer = leads.then_some(0);
+        (batch.keep_pinned, batch.retryable) = (!plan.commits, !plan.commits);
     } else if plan.writes {
-        statement(&mut shape.bytes, None);
-        shape.proof = Some(0);
+        statement(&mut batch.bytes, None);
+        batch.confirming_answer = Some(0);
     } else if leads {
-        C::encode_control(&mut shape.opening, ControlStatement::Begin);
-        statement(&mut shape.bytes, None);
-        C::encode_control(&mut shape.bytes, ControlStatement::Rollback);
-        (shape.count, shape.answer, shape.proof) = (2, 1, Some(0));
-        shape.repeatable = true;
+        C::encode_control(&mut batch.begin_bytes, ControlStatement::Begin);
+        statement(&mut batch.bytes, None);
+        C::encode_control(&mut batch.bytes, ControlStatement::Rollback);
+        (batch.count, batch.answer, batch.confirming_answer) = (2, 1, Some(0));
+        batch.retryable = true;
     } else {
-        statement(&mut shape.bytes, needed);
-        shape.repeatable = true;
+        statement(&mut batch.bytes, required);
+        batch.retryable = true;
     }
-    shape
+    batch
 }
 
 /// Decides what the answers to an operation's first statement mean.
-fn judge(
+fn classify_answers(
     context: &StatementContext<'_>,
     answers: Vec<StatementAnswer>,
     answer: u8,
-    place: Option<PinnedTransaction>,
-) -> TryOutcome {
+    transaction: Option<PinnedTransaction>,
+) -> AttemptOutcome {
     let error = answers.iter().take(usize::from(answer) + 1).find_map(|answer| answer.error);
     let Some(code) = error else {
-        return TryOutcome::Done(finish(answers, answer, place));
+        return AttemptOutcome::Done(build_result(answers, answer, transaction));
     };
-    let again = |cause| TryOutcome::Again { code, cause, pause: FULL_PAUSE };
+    let retry = |cause| AttemptOutcome::Retry { code, cause, backoff: BUSY_BACKOFF };
     match code {
-        RefusalCode::Busy => again("member_busy"),
-        RefusalCode::Lagging => again("member_lags"),
-        RefusalCode::ReadOnly => again("member_follows"),
-        RefusalCode::UnknownName => again("member_lacks_name"),
-        RefusalCode::WrongMember => again("member_wrong"),
-        RefusalCode::TooManyConnections => again("member_connections"),
-        RefusalCode::Aborted if !context.plan.changes_data() => again("member_aborted"),
+        RefusalCode::Busy => retry("member_busy"),
+        RefusalCode::Lagging => retry("member_lags"),
+        RefusalCode::ReadOnly => retry("member_follows"),
+        RefusalCode::UnknownName => retry("member_lacks_name"),
+        RefusalCode::WrongMember => retry("member_wrong"),
+        RefusalCode::TooManyConnections => retry("member_connections"),
+        RefusalCode::Aborted if !context.plan.changes_data() => retry("member_aborted"),
         RefusalCode::Failed | RefusalCode::Timeout if context.plan.read_only => {
-            again("member_failed")
+            retry("member_failed")
         }
-        _ => TryOutcome::Done(finish(answers, answer, place)),
+        _ => AttemptOutcome::Done(build_result(answers, answer, transaction)),
     }
 }
 
 /// Turns the answers of a member into the outcome for the caller.
-fn finish(
+fn build_result(
     mut answers: Vec<StatementAnswer>,
     answer: u8,
-    place: Option<PinnedTransaction>,
+    transaction: Option<PinnedTransaction>,
 ) -> StatementResult {
     let first_error = answers.iter().take(usize::from(answer)).find_map(|answer| answer.error);
     let index = usize::from(answer).min(answers.len().saturating_sub(1));
@@ -427,7 +439,7 @@
         (None, None) => StatementResult::Success {
             content: answer.content,
             position: answer.position,
-            transaction: place,
+            transaction,
         },
         (Some(code), _) => failure(code, "the transaction could not be opened".to_owned()),
         (None, Some(code)) => {
@@ -441,7 +453,7 @@
 }
 
 /// Refuses what provably did not run, with the time after which another try has a chance.
-fn not_run(cause: &str, retry: Duration) -> StatementResult {
-    let retry = retry.max(LEAST_RETRY).as_millis();
-    failure(RefusalCode::Busy, format!("not run: {cause}; retry after {retry} ms"))
+fn not_run(cause: &str, retry_after: Duration) -> StatementResult {
+    let retry_after_ms = retry_after.max(MIN_RETRY_DELAY).as_millis();
+    failure(RefusalCode::Busy, format!("not run: {cause}; retry after {retry_after_ms} ms"))
 }
--- a/crates/engine/src/tables.rs
+++ b/crates/engine/src/tables.rs
@@ -34,22 +34,22 @@
     }
 
     /// Takes changed rows and returns those that are news.
-    pub fn take_changes(&mut self, rows: Vec<StoredRow>) -> Vec<StoredRow> {
-        let mut news = Vec::new();
+    pub fn merge_changes(&mut self, rows: Vec<StoredRow>) -> Vec<StoredRow> {
+        let mut changed = Vec::new();
         for row in rows {
             self.version = self.version.max(row.version);
             if self.rows.get(&row.key).is_some_and(|known| known.version >= row.version) {
                 continue;
             }
             self.rows.insert(row.key.clone(), row.clone());
-            news.push(row);
+            changed.push(row);
         }
-        news
+        changed
     }
 
     /// Takes all rows as of `version` and returns those that are news; rows that are missing were
     /// removed.
-    pub fn take_all(&mut self, rows: Vec<StoredRow>, version: u64) -> Vec<StoredRow> {
+    pub fn merge_snapshot(&mut self, rows: Vec<StoredRow>, version: u64) -> Vec<StoredRow> {
         let is_missing = |known: &&StoredRow| {
             known.version <= version
                 && known.value.is_some()
@@ -61,9 +61,9 @@
             .filter(is_missing)
             .map(|known| StoredRow { version: known.version + 1, value: None, ..known.clone() })
             .collect();
-        let mut news = self.take_changes(removed);
-        news.extend(self.take_changes(rows));
-        news
+        let mut changed = self.merge_changes(removed);
+        changed.extend(self.merge_changes(rows));
+        changed
     }
 
     /// Returns all rows, removed ones included.
@@ -72,7 +72,7 @@
     }
 
     /// Raises the version after a copy from another instance was taken in full.
-    pub fn note_version(&mut self, version: u64) {
+    pub fn raise_version(&mut self, version: u64) {
         self.version = self.version.max(version);
     }
 }
