--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -183,7 +183,7 @@
         let request = |call| PeerRequest::Execute { call_id: call, body: Box::new(body) };
         let reply = self.ask(|pending| &mut pending.execute, limit, request).await;
         let lost =
-            ExecuteReply { outcome: ExecuteOutcome::Lost, queue_wait_ms: 0, watermark: None };
+            ExecuteReply { outcome: ExecuteOutcome::InDoubt, queue_wait_ms: 0, watermark: None };
         reply.unwrap_or(lost)
     }
 
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -118,7 +118,7 @@
                         view.position = Some((position, now));
                     }
                 }
-                ExecuteOutcome::Lost
+                ExecuteOutcome::InDoubt
                 | ExecuteOutcome::NotSent { reason: NotSentReason::Unreachable, .. } => {
                     view.failed_at = Some(now);
                 }
--- a/crates/engine/src/holder.rs
+++ b/crates/engine/src/holder.rs
@@ -305,7 +305,7 @@
             Ok(Some(answers)) => answers,
             Ok(None) | Err(_) => {
                 pool.close(connection);
-                return ExecuteOutcome::Lost;
+                return ExecuteOutcome::InDoubt;
             }
         };
         drop(permit);
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -134,7 +134,7 @@
         retry_ms: u32,
     },
     /// The statements were sent and may have run.
-    Lost,
+    InDoubt,
 }
 
 /// Reply of the connection owner to an [`ExecuteCall`].
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -112,7 +112,7 @@
         backoff: Duration,
     },
     /// The statement was sent and not answered.
-    Lost,
+    InDoubt,
 }
 
 impl<E: EngineEdge> GatewayNode<E> {
@@ -155,11 +155,11 @@
                 .await
             {
                 AttemptOutcome::Done(result) => return result,
-                AttemptOutcome::Lost if context.plan.changes_data() => {
+                AttemptOutcome::InDoubt if context.plan.changes_data() => {
                     let explanation = "the answer of the member is lost".to_owned();
                     return failure(RefusalCode::Unknown, explanation);
                 }
-                AttemptOutcome::Lost => {
+                AttemptOutcome::InDoubt => {
                     last_failure =
                         (RefusalCode::Aborted, "the answer of the member is lost", MIN_RETRY_DELAY);
                     self.log_retry(context, &endpoint, "answer_lost", attempt);
@@ -214,10 +214,10 @@
         let reply = self.dispatch_to(&transaction.owner, call).await;
         match reply.outcome {
             ExecuteOutcome::Answered(answers) => build_result(answers, 0, None),
-            ExecuteOutcome::Lost if commits => {
+            ExecuteOutcome::InDoubt if commits => {
                 failure(RefusalCode::Unknown, "the answer to the commit is lost".to_owned())
             }
-            ExecuteOutcome::Lost | ExecuteOutcome::NotSent { .. } => failure(
+            ExecuteOutcome::InDoubt | ExecuteOutcome::NotSent { .. } => failure(
                 RefusalCode::Aborted,
                 "the connection of the transaction is lost".to_owned(),
             ),
@@ -303,7 +303,7 @@
                     _ => NO_LEADER_BACKOFF,
                 },
             },
-            ExecuteOutcome::Lost => AttemptOutcome::Lost,
+            ExecuteOutcome::InDoubt => AttemptOutcome::InDoubt,
         }
     }
 
