--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -136,7 +136,7 @@
             arrived_at + context.route.target_latency.mul_f64(START_TIMEOUT_FRACTION);
         let deadline = arrived_at + context.route.statement_timeout;
         let mut failed: Vec<String> = Vec::new();
-        let mut last_failure = (RefusalCode::Busy, "no endpoint", MIN_RETRY_DELAY);
+        let mut last_failure = (RefusalCode::Busy, "no endpoint is available", MIN_RETRY_DELAY);
         for attempt in 0..MAX_ATTEMPTS {
             let now = self.now();
             if attempt > 0 && now >= latest_start {
@@ -195,7 +195,7 @@
         pinned: Option<&PinnedTransaction>,
     ) -> StatementResult {
         let Some(transaction) = pinned else {
-            return failure(RefusalCode::Aborted, "the transaction is gone".to_owned());
+            return failure(RefusalCode::Aborted, "the transaction is no longer open".to_owned());
         };
         let mut bytes = Vec::new();
         E::Codec::encode_statement(&mut bytes, context.request_id, None, context.text);
