--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use crate::instance::{EngineTypes, GatewayInstance};
-use crate::message::CountAnswer;
+use crate::message::AdmissionDecision;
 
 /// Bounds the wait for the answer of a quota owner.
 const ADMISSION_TIMEOUT: Duration = Duration::from_millis(150);
@@ -31,16 +31,16 @@
         max_wait: Duration,
     ) -> Result<(), Duration> {
         let max_wait = max_wait.min(TOKEN_TIMEOUT);
-        if self.directory.borrow().document().limit(team).is_none() {
+        if self.directory.borrow().document().team_limit(team).is_none() {
             return Ok(());
         }
         match self.request_admission(team, priority, max_wait).await {
-            CountAnswer::Admitted { after } if after.is_zero() => Ok(()),
-            CountAnswer::Admitted { after } => {
-                sleep(after).await;
+            AdmissionDecision::Admitted { delay } if delay.is_zero() => Ok(()),
+            AdmissionDecision::Admitted { delay } => {
+                sleep(delay).await;
                 Ok(())
             }
-            CountAnswer::Refused { retry } => Err(retry.max(MIN_RETRY_DELAY)),
+            AdmissionDecision::Refused { retry_after } => Err(retry_after.max(MIN_RETRY_DELAY)),
         }
     }
 
@@ -50,22 +50,22 @@
         team: &str,
         priority: PriorityLevel,
         max_wait: Duration,
-    ) -> CountAnswer {
+    ) -> AdmissionDecision {
         let document = self.directory.borrow().document();
-        let Some(limit) = document.limit(team) else {
-            return CountAnswer::Admitted { after: Duration::ZERO };
+        let Some(limit) = document.team_limit(team) else {
+            return AdmissionDecision::Admitted { delay: Duration::ZERO };
         };
         let (first_start, now) = (self.is_first_start(), self.now());
         match self.quotas.borrow_mut().take(
             team,
             limit,
-            document.rank(priority),
+            document.priority_rank(priority),
             max_wait,
             first_start,
             now,
         ) {
-            Ok(after) => CountAnswer::Admitted { after },
-            Err(delay) => CountAnswer::Refused { retry: delay.retry_after },
+            Ok(after) => AdmissionDecision::Admitted { delay: after },
+            Err(delay) => AdmissionDecision::Refused { retry_after: delay.retry_after },
         }
     }
 
@@ -73,7 +73,7 @@
     pub async fn track_reachability(self: Rc<Self>) {
         loop {
             let reached = self.peers.live().len() + 1;
-            let registered = self.peers.registered();
+            let registered = self.peers.registered_count();
             self.quotas.borrow_mut().record_reachable(reached, registered, self.now());
             sleep(REACHABILITY_INTERVAL).await;
         }
@@ -85,8 +85,8 @@
         team: &str,
         priority: PriorityLevel,
         max_wait: Duration,
-    ) -> CountAnswer {
-        let names = self.peers.staying(self.is_leaving());
+    ) -> AdmissionDecision {
+        let names = self.peers.active_names(self.is_leaving());
         let order =
             rendezvous::top_ranked(team, names.iter().map(String::as_str), MAX_QUOTA_OWNERS);
         for name in order {
--- a/crates/engine/src/caller.rs
+++ b/crates/engine/src/caller.rs
@@ -16,10 +16,10 @@
 
 use crate::directory::DocumentIndex;
 use crate::instance::{EngineTypes, GatewayInstance};
+use crate::interface::{CallerRequest, RefusalCode, WireCodec};
 use crate::line_buffer::LineBuffer;
-use crate::link::{CallerRequest, RefusalCode, WireCodec};
-use crate::operation::{OperationContext, OperationResult, PinnedPlace};
 use crate::record::RouteRecord;
+use crate::statement::{PinnedTransaction, StatementContext, StatementResult};
 
 /// Bounds the wait for a caller's startup request.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(3);
@@ -46,7 +46,7 @@
     key: Option<String>,
     machine: SessionMachine,
     session_id: u64,
-    pinned: Option<PinnedPlace>,
+    pinned: Option<PinnedTransaction>,
     /// Time at which the current statement arrived.
     arrived_at: Instant,
 }
@@ -148,7 +148,7 @@
     /// Returns false after [`FIRST_DOCUMENT_TIMEOUT`].
     async fn wait_for_document(&self) -> bool {
         let started_at = self.instance.now();
-        while !self.instance.directory.borrow().is_complete() {
+        while !self.instance.directory.borrow().is_loaded() {
             if self.instance.now().saturating_duration_since(started_at) > FIRST_DOCUMENT_TIMEOUT {
                 return false;
             }
@@ -215,7 +215,7 @@
             return SessionEvent::Line(length, self.instance.now());
         }
         let instance = self.instance.clone();
-        let idle_limit = match self.document().transaction_idle {
+        let idle_limit = match self.document().transaction_idle_timeout {
             Some(limit) if self.machine.is_pinned() => Some(limit),
             _ => None,
         };
@@ -304,15 +304,15 @@
         out: &mut Vec<u8>,
     ) {
         let pending = if plan.pinned { self.machine.take_pending_setup() } else { Vec::new() };
-        let context = OperationContext {
+        let context = StatementContext {
             plan,
             route,
             team,
-            id,
+            request_id: id,
             text,
-            dialogue: &self.machine,
-            session: self.session_id,
-            pending,
+            session_state: &self.machine,
+            session_id: self.session_id,
+            pending_setup: pending,
             arrived_at: self.arrived_at,
         };
         let result = self.instance.run_statement(&context, self.pinned.as_ref()).await;
@@ -321,12 +321,12 @@
         let waited = self.instance.now().saturating_duration_since(self.arrived_at);
         histogram!(meter::REQUEST_SECONDS, "class" => class).record(waited.as_secs_f64());
         match result {
-            OperationResult::Success { content, position, place } => {
+            StatementResult::Success { content, position, transaction } => {
                 self.machine.record_success(plan, position);
-                self.pinned = if plan.commits { None } else { place.or(self.pinned.take()) };
+                self.pinned = if plan.commits { None } else { transaction.or(self.pinned.take()) };
                 out.extend_from_slice(&content);
             }
-            OperationResult::Failure { content, code, explanation } => {
+            StatementResult::Failure { content, code, explanation } => {
                 self.machine.record_failure(plan);
                 if !plan.is_autocommit() {
                     self.release_transaction();
@@ -348,14 +348,14 @@
         let Some(route) = document.route(&self.database) else {
             return Err((RefusalCode::UnknownDatabase, "unknown database"));
         };
-        let team = self.key.as_deref().and_then(|key| document.team_of(key));
+        let team = self.key.as_deref().and_then(|key| document.team_by_key(key));
         match team {
             Some(_) if !self.instance.is_document_validated() => Err((
                 RefusalCode::Busy,
                 "not run: the instance cannot confirm that the key is still valid",
             )),
             Some(team) => Ok((route, team)),
-            None if route.open_to_all => Ok((route, ANONYMOUS_TEAM.into())),
+            None if route.public => Ok((route, ANONYMOUS_TEAM.into())),
             None => Err((RefusalCode::UnknownKey, "unknown key")),
         }
     }
@@ -367,7 +367,7 @@
     fn log_refusal(&self, id: &str, code: RefusalCode, explanation: &str) {
         counter!(meter::REFUSALS, "reason" => code.label()).increment(1);
         let document = self.document();
-        let team = self.key.as_deref().and_then(|key| document.team_of(key));
+        let team = self.key.as_deref().and_then(|key| document.team_by_key(key));
         log_event!(
             LogEvent::RequestRefused,
             "request={id} database={} team={} code={} document={} state={:?} waited_ms={} \
@@ -384,7 +384,7 @@
     /// Rolls back the open transaction at its endpoint, if there is one.
     fn release_transaction(&mut self) {
         if let Some(place) = self.pinned.take() {
-            self.instance.dispatch_release(&place.holder, place.channel);
+            self.instance.dispatch_release(&place.owner, place.transaction_id);
         }
     }
 
@@ -408,7 +408,7 @@
         if let Some(length) = input.line_length() {
             return Some(length);
         }
-        if input.len() > E::Codec::LINE_LIMIT {
+        if input.len() > E::Codec::MAX_LINE_BYTES {
             return None;
         }
         match input.fill(reader).await {
--- a/crates/engine/src/connection_owner.rs
+++ b/crates/engine/src/connection_owner.rs
@@ -24,9 +24,9 @@
     CONNECT_TIMEOUT, EndpointConnection, EndpointError, OPEN_TIMEOUT,
 };
 use crate::instance::{EngineTypes, GatewayInstance};
-use crate::link::{ControlStatement, RefusalCode, WireCodec};
+use crate::interface::{ControlStatement, RefusalCode, WireCodec};
 use crate::message::{
-    ExecuteCall, ExecuteOutcome, ExecuteReply, HoldReason, StatementAnswer, millis,
+    ExecuteCall, ExecuteOutcome, ExecuteReply, NotSentReason, StatementAnswer, millis,
 };
 use crate::pool::{
     AcquireError, EndpointPool, IdleConnection, PinnedConnection, RECONNECT_BACKOFF, RunPermit,
@@ -115,17 +115,17 @@
         call: ExecuteCall,
     ) -> ExecuteReply {
         let Some(pool) = self.pool(&call.endpoint) else {
-            return refused_reply(HoldReason::UnknownEndpoint, 0);
+            return refused_reply(NotSentReason::UnknownEndpoint, 0);
         };
         let outcome = self.execute_in_pool(&pool, origin, &call).await;
         let now = self.now();
-        let queue_wait = pool.queue.borrow().expected_wait(call.level);
+        let queue_wait = pool.queue.borrow().expected_wait(call.priority);
         let directory = self.directory.borrow();
-        let newest = directory.marks(&pool.service).and_then(|marks| marks.newest());
+        let newest = directory.watermarks(&pool.service).and_then(|marks| marks.newest());
         let with_age = |watermark: Watermark| {
             (watermark.position, millis(now.saturating_duration_since(watermark.as_of)) + 1)
         };
-        ExecuteReply { outcome, queue_ms: millis(queue_wait), mark: newest.map(with_age) }
+        ExecuteReply { outcome, queue_wait_ms: millis(queue_wait), watermark: newest.map(with_age) }
     }
 
     /// Rolls a transaction back and returns its connection to the pool.
@@ -185,10 +185,16 @@
                 self.spawn_probe(&pool);
             }
             self.resize_pool(&pool);
-            let registered_start =
-                self.directory.borrow().endpoint(&pool.endpoint).map(|entry| entry.record.born_ms);
+            let registered_start = self
+                .directory
+                .borrow()
+                .endpoint(&pool.endpoint)
+                .map(|entry| entry.record.started_ms);
             let owned_here = registered_start.is_some()
-                && self.holders_of(&pool.endpoint).first().is_some_and(|name| name == self.name());
+                && self
+                    .connection_owners(&pool.endpoint)
+                    .first()
+                    .is_some_and(|name| name == self.name());
             let last_use = last_use_by_team(&pool);
             let mut evicted = Vec::new();
             pool.idle.borrow_mut().retain_mut(|idle| {
@@ -228,7 +234,7 @@
         let document = directory.document();
         let reachable_fraction = self.quotas.borrow().reachable_fraction();
         if let Some(service) = document.service(&pool.service) {
-            pool.max_open.set(connection_limit(service.connections, reachable_fraction));
+            pool.max_open.set(connection_limit(service.max_connections, reachable_fraction));
         }
         if let Some(entry) = directory.endpoint(&pool.endpoint) {
             pool.queue.borrow_mut().resize(entry.record.slots.max(1) + EXTRA_PERMITS);
@@ -243,7 +249,7 @@
         let entry = directory.endpoint(endpoint)?;
         let mut pools = self.pools.by_endpoint.borrow_mut();
         if let Some(pool) =
-            pools.get(endpoint).filter(|pool| pool.started_ms == entry.record.born_ms)
+            pools.get(endpoint).filter(|pool| pool.started_ms == entry.record.started_ms)
         {
             return Some(pool.clone());
         }
@@ -251,7 +257,7 @@
             endpoint: endpoint.to_owned(),
             service: entry.record.service.clone(),
             address: entry.record.address,
-            started_ms: entry.record.born_ms,
+            started_ms: entry.record.started_ms,
             queue: RefCell::new(PriorityQueue::new(1)),
             idle: RefCell::default(),
             open_count: Cell::new(0),
@@ -276,36 +282,36 @@
         call: &ExecuteCall,
     ) -> ExecuteOutcome {
         let received_at = self.now();
-        let deadline = received_at + Duration::from_millis(call.answer_within_ms.into());
+        let deadline = received_at + Duration::from_millis(call.answer_timeout_ms.into());
         let permit = if call.pinned {
             pool.queue.borrow_mut().acquire_pinned();
-            self.new_permit(pool, call.level, team_hash(&call.team))
+            self.new_permit(pool, call.priority, team_hash(&call.team))
         } else {
             if pool.is_in_backoff(received_at) {
-                return not_sent(HoldReason::Unreachable, RECONNECT_BACKOFF);
+                return not_sent(NotSentReason::Unreachable, RECONNECT_BACKOFF);
             }
             match self.acquire_permit(pool, call, received_at).await {
                 Ok(permit) => permit,
-                Err(retry) => return not_sent(HoldReason::Queue, retry),
+                Err(retry) => return not_sent(NotSentReason::QueueDelay, retry),
             }
         };
         let mut connection = if call.pinned {
-            let taken = self.pools.pinned.borrow_mut().remove(&(origin, call.channel));
+            let taken = self.pools.pinned.borrow_mut().remove(&(origin, call.transaction_id));
             match taken {
                 Some(pinned) => pinned.connection,
-                None => return not_sent(HoldReason::PinLost, Duration::ZERO),
+                None => return not_sent(NotSentReason::PinLost, Duration::ZERO),
             }
         } else {
-            let latest_start = received_at + Duration::from_millis(call.start_within_ms.into());
+            let latest_start = received_at + Duration::from_millis(call.start_timeout_ms.into());
             match self.acquire_connection(pool, call, latest_start).await {
                 Ok(connection) => connection,
                 Err(AcquireError::Unreachable) => {
-                    return not_sent(HoldReason::Unreachable, RECONNECT_BACKOFF);
+                    return not_sent(NotSentReason::Unreachable, RECONNECT_BACKOFF);
                 }
                 Err(AcquireError::Full) => {
                     let retry =
                         pool.queue.borrow().expected_team_wait(permit.priority, permit.team);
-                    return not_sent(HoldReason::Connections, retry);
+                    return not_sent(NotSentReason::NoConnection, retry);
                 }
             }
         };
@@ -316,7 +322,7 @@
             Ok(Some(answers)) => answers,
             Ok(None) | Err(_) => {
                 pool.close_connection(connection);
-                return ExecuteOutcome::Lost;
+                return ExecuteOutcome::InDoubt;
             }
         };
         drop(permit);
@@ -337,11 +343,11 @@
         call: &ExecuteCall,
         now: Instant,
     ) -> Result<RunPermit, Duration> {
-        let (priority, team) = (call.level, team_hash(&call.team));
+        let (priority, team) = (call.priority, team_hash(&call.team));
         if pool.queue.borrow_mut().try_acquire(priority) {
             return Ok(self.new_permit(pool, priority, team));
         }
-        let wait = Duration::from_millis(call.start_within_ms.into());
+        let wait = Duration::from_millis(call.start_timeout_ms.into());
         let (sender, mut receiver) = oneshot::channel();
         let pushed = pool.queue.borrow_mut().push(priority, team, sender, now + wait, now);
         let expected = |pool: &EndpointPool| pool.queue.borrow().expected_team_wait(priority, team);
@@ -372,7 +378,7 @@
             let now = self.now();
             if let Some(idle) = acquire_idle(pool, &call.team) {
                 let idle_time = now.saturating_duration_since(idle.idle_since);
-                if idle_time < MIN_IDLE_BEFORE_CHECK || call.repeatable {
+                if idle_time < MIN_IDLE_BEFORE_CHECK || call.retryable {
                     return Ok(idle.connection);
                 }
                 match self.check_connection(idle.connection).await {
@@ -471,18 +477,18 @@
         connection: &mut EndpointConnection,
         call: &ExecuteCall,
     ) -> Option<Vec<StatementAnswer>> {
-        let needs_setup = call.pinned || connection.applied_setup_id != call.setup;
+        let needs_setup = call.pinned || connection.applied_setup_id != call.setup_id;
         let setup_answers = if needs_setup { call.setup_count } else { 0 };
         let setup_bytes = if setup_answers > 0 { call.setup_bytes.as_slice() } else { &[] };
-        let opens_transaction = !call.opening.is_empty();
-        let first_bytes = if opens_transaction { &call.opening } else { &call.bytes };
+        let opens_transaction = !call.begin_bytes.is_empty();
+        let first_bytes = if opens_transaction { &call.begin_bytes } else { &call.bytes };
         if setup_bytes.is_empty() {
             connection.send(first_bytes).await.ok()?;
         } else {
             connection.send(&[setup_bytes, first_bytes].concat()).await.ok()?;
         }
         if !call.pinned {
-            connection.applied_setup_id = call.setup;
+            connection.applied_setup_id = call.setup_id;
         }
         for _ in 0..setup_answers {
             let answer = self.read_answer_or_probe(pool, connection, call).await?;
@@ -528,7 +534,7 @@
                     return Some(answer);
                 }
                 () = sleep(STALL_TIMEOUT) => {
-                    if call.repeatable && pool.unreachable_since.get().is_some() {
+                    if call.retryable && pool.unreachable_since.get().is_some() {
                         return None;
                     }
                     self.probe_if_silent(pool);
@@ -578,16 +584,17 @@
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
         if let Some(position) = answers.iter().rev().find_map(|answer| answer.position) {
-            directory.observe(&pool.endpoint, |view| view.position = Some((position, now)));
+            directory.update_view(&pool.endpoint, |view| view.position = Some((position, now)));
         }
-        let Some(confirming_answer) = call.proof.and_then(|index| answers.get(usize::from(index)))
+        let Some(confirming_answer) =
+            call.confirming_answer.and_then(|index| answers.get(usize::from(index)))
         else {
             return;
         };
         match (confirming_answer.error, confirming_answer.position) {
             (None, Some(position)) => {
                 let watermark = Watermark { as_of: sent_at, position };
-                if directory.note_leader(&pool.endpoint, watermark) {
+                if directory.record_leader_watermark(&pool.endpoint, watermark) {
                     self.status_changed.notify_waiters();
                     log_event!(
                         LogEvent::PrimaryChanged,
@@ -599,7 +606,7 @@
                 }
             }
             (Some(RefusalCode::ReadOnly), _) => {
-                directory.observe(&pool.endpoint, |view| view.not_leader_at = Some(now));
+                directory.update_view(&pool.endpoint, |view| view.not_leader_at = Some(now));
             }
             _ => {}
         }
@@ -619,10 +626,10 @@
         // A failed statement may leave the transaction open at the endpoint, but its session
         // abandons it.
         let failed = answers.iter().any(|answer| answer.error.is_some());
-        let kept = call.keeps && !failed && self.pools.is_live_origin(origin);
+        let kept = call.keep_pinned && !failed && self.pools.is_live_origin(origin);
         match state {
             TransactionState::Open if kept => {
-                self.pools.pinned.borrow_mut().insert((origin, call.channel), pinned);
+                self.pools.pinned.borrow_mut().insert((origin, call.transaction_id), pinned);
             }
             TransactionState::Idle => self.return_idle(pinned),
             TransactionState::Open | TransactionState::Failed => self.roll_back(pinned),
@@ -671,10 +678,14 @@
     rendezvous::weight(team, "")
 }
 
-fn refused_reply(reason: HoldReason, queue_ms: u32) -> ExecuteReply {
-    ExecuteReply { outcome: not_sent(reason, Duration::ZERO), queue_ms, mark: None }
+fn refused_reply(reason: NotSentReason, queue_ms: u32) -> ExecuteReply {
+    ExecuteReply {
+        outcome: not_sent(reason, Duration::ZERO),
+        queue_wait_ms: queue_ms,
+        watermark: None,
+    }
 }
 
-fn not_sent(reason: HoldReason, retry: Duration) -> ExecuteOutcome {
+fn not_sent(reason: NotSentReason, retry: Duration) -> ExecuteOutcome {
     ExecuteOutcome::NotSent { reason, retry_ms: millis(retry) }
 }
--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of document, endpoints, leaders and proved positions.
+//! Directory of an instance: document in force, endpoints, leaders and watermarks.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -12,22 +12,22 @@
 
 use crate::record::{EndpointRecord, FleetDocument, RouteRecord, ServiceRecord};
 
-/// Time for which a registration that vanished still counts; the store may have dropped it while
-/// it was away, and brings it back within two seconds of its return.
-const GONE_GRACE: Duration = Duration::from_millis(2_500);
+/// Time for which an endpoint still takes work after its registration vanished. An outage of the
+/// store may remove registrations, which reappear within 2 s of its recovery.
+const UNREGISTERED_GRACE_PERIOD: Duration = Duration::from_millis(2_500);
 
-/// Document in force, indexed.
+/// Index of the document in force.
 #[derive(Debug, Default)]
 pub struct DocumentIndex {
-    /// Version; zero before the first document.
+    /// Version of the document; zero before the first one.
     pub version: u64,
-    /// Time for which an open transaction may rest.
-    pub transaction_idle: Option<Duration>,
+    /// Time after which an idle open transaction is rolled back; `None` for no limit.
+    pub transaction_idle_timeout: Option<Duration>,
     routes: HashMap<String, Rc<RouteRecord>>,
     services: HashMap<String, ServiceRecord>,
     teams_by_key: HashMap<String, Rc<str>>,
     limits: HashMap<String, Option<TeamLimit>>,
-    levels: BTreeSet<PriorityLevel>,
+    priorities: BTreeSet<PriorityLevel>,
 }
 
 impl DocumentIndex {
@@ -39,17 +39,17 @@
             teams_by_key.extend(team.keys.into_iter().map(|key| (key, name.clone())));
             limits.insert(team.name, team.limit);
         }
-        let levels = document.routes.iter().map(|route| route.level).collect();
+        let priorities = document.routes.iter().map(|route| route.priority).collect();
         let routes = document.routes.into_iter();
         let services = document.services.into_iter();
         Self {
             version: document.version,
-            transaction_idle: document.transaction_idle,
+            transaction_idle_timeout: document.transaction_idle_timeout,
             routes: routes.map(|route| (route.database.clone(), Rc::new(route))).collect(),
             services: services.map(|service| (service.name.clone(), service)).collect(),
             teams_by_key,
             limits,
-            levels,
+            priorities,
         }
     }
 
@@ -58,93 +58,94 @@
         self.routes.get(database).cloned()
     }
 
-    /// Returns the team that holds a key.
-    pub fn team_of(&self, key: &str) -> Option<Rc<str>> {
+    /// Returns the team that a key belongs to.
+    pub fn team_by_key(&self, key: &str) -> Option<Rc<str>> {
         self.teams_by_key.get(key).cloned()
     }
 
-    /// Returns the limit of a team; none if it has none.
-    pub fn limit(&self, team: &str) -> Option<TeamLimit> {
+    /// Returns the rate limit of a team, or `None` if the team is unlimited or unknown.
+    pub fn team_limit(&self, team: &str) -> Option<TeamLimit> {
         self.limits.get(team).copied().flatten()
     }
 
-    /// Returns how many urgencies above `level` the routes have.
-    pub fn rank(&self, level: PriorityLevel) -> usize {
-        self.levels.iter().filter(|other| **other < level).count()
+    /// Returns how many distinct higher priorities the routes of the document use.
+    pub fn priority_rank(&self, priority: PriorityLevel) -> usize {
+        self.priorities.iter().filter(|other| **other < priority).count()
     }
 
-    /// Returns a service.
+    /// Returns a service by its name.
     pub fn service(&self, name: &str) -> Option<&ServiceRecord> {
         self.services.get(name)
     }
 
-    /// Returns the names of the services.
+    /// Returns the names of all services.
     pub fn service_names(&self) -> impl Iterator<Item = &str> {
         self.services.keys().map(String::as_str)
     }
 }
 
-/// Endpoint with what was observed of it.
+/// Registration of an endpoint with the observations of this instance.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
-    /// Registration.
+    /// Last registration.
     pub record: EndpointRecord,
-    /// Observations.
+    /// Observations of this instance.
     pub view: EndpointView,
-    /// Time at which its registration vanished.
-    pub gone_at: Option<Instant>,
-    /// Time at which it announced that it leaves.
-    pub leaving_at: Option<Instant>,
+    /// Time at which the registration vanished; `None` while registered.
+    pub unregistered_at: Option<Instant>,
+    /// Time at which the endpoint announced that it is leaving.
+    pub leaving_since: Option<Instant>,
 }
 
 impl EndpointEntry {
-    /// Tells whether it may get new work at all.
-    fn is_usable(&self, drain_limit: Duration, now: Instant) -> bool {
-        let past = |at: Option<Instant>, limit: Duration| {
+    /// Returns whether the endpoint may get new work.
+    fn accepts_work(&self, drain_timeout: Duration, now: Instant) -> bool {
+        let elapsed = |at: Option<Instant>, limit: Duration| {
             at.is_some_and(|at| now.saturating_duration_since(at) >= limit)
         };
-        !past(self.gone_at, GONE_GRACE) && !past(self.leaving_at, drain_limit)
+        !elapsed(self.unregistered_at, UNREGISTERED_GRACE_PERIOD)
+            && !elapsed(self.leaving_since, drain_timeout)
     }
 
-    /// Tells whether it is registered and does not leave.
-    pub fn stays(&self) -> bool {
-        self.gone_at.is_none() && !self.record.leaving
+    /// Returns whether the endpoint is registered and not leaving.
+    pub fn is_active(&self) -> bool {
+        self.unregistered_at.is_none() && !self.record.leaving
     }
 }
 
-/// Leader and proved positions of a service.
+/// Leader, watermarks and members of a service.
 #[derive(Clone, Debug, Default)]
-struct ServiceKnowledge {
-    marks: WatermarkRing,
+struct ServiceState {
+    watermarks: WatermarkRing,
     leader: Option<(String, u64)>,
     members: Vec<String>,
 }
 
-/// Directory of one instance.
+/// Directory of document, endpoints and leaders, as known to one instance.
 #[derive(Debug)]
 pub struct FleetDirectory {
     document: Rc<DocumentIndex>,
     endpoints: HashMap<String, EndpointEntry>,
-    services: HashMap<String, ServiceKnowledge>,
-    drain_limit: Duration,
-    endpoints_read: bool,
+    services: HashMap<String, ServiceState>,
+    drain_timeout: Duration,
+    endpoints_loaded: bool,
 }
 
 impl FleetDirectory {
-    /// Creates an empty directory; a leaving endpoint gets no new work after `drain_limit`.
-    pub fn new(drain_limit: Duration) -> Self {
+    /// Creates an empty directory; a leaving endpoint gets no new work after `drain_timeout`.
+    pub fn new(drain_timeout: Duration) -> Self {
         Self {
             document: Rc::default(),
             endpoints: HashMap::new(),
             services: HashMap::new(),
-            drain_limit,
-            endpoints_read: false,
+            drain_timeout,
+            endpoints_loaded: false,
         }
     }
 
-    /// Changes the time after which a leaving endpoint gets no new work.
-    pub fn set_drain_limit(&mut self, drain_limit: Duration) {
-        self.drain_limit = drain_limit;
+    /// Sets the time after which a leaving endpoint gets no new work.
+    pub fn set_drain_timeout(&mut self, drain_timeout: Duration) {
+        self.drain_timeout = drain_timeout;
     }
 
     /// Returns the document in force.
@@ -152,17 +153,17 @@
         self.document.clone()
     }
 
-    /// Tells whether document and endpoints were read.
-    pub fn is_complete(&self) -> bool {
-        self.document.version > 0 && self.endpoints_read
+    /// Returns whether a document and the table of endpoints have been loaded.
+    pub fn is_loaded(&self) -> bool {
+        self.document.version > 0 && self.endpoints_loaded
     }
 
-    /// Records that the table of endpoints was read in full.
-    pub fn note_endpoints_read(&mut self) {
-        self.endpoints_read = true;
+    /// Records that the table of endpoints has been loaded in full.
+    pub fn set_endpoints_loaded(&mut self) {
+        self.endpoints_loaded = true;
     }
 
-    /// Brings a document into force unless a newer one is; tells whether it did.
+    /// Applies a document if it is newer than the one in force; returns whether it was applied.
     pub fn apply_document(&mut self, document: FleetDocument) -> bool {
         if document.version <= self.document.version {
             return false;
@@ -171,47 +172,49 @@
         true
     }
 
-    /// Records a registration; tells whether anything but observations changed.
+    /// Applies a registration; returns whether it differs from the previous one.
     pub fn apply_endpoint(&mut self, record: EndpointRecord, now: Instant) -> bool {
         let known = self.endpoints.get(&record.name);
-        if known.is_some_and(|entry| entry.record == record && entry.gone_at.is_none()) {
+        if known.is_some_and(|entry| entry.record == record && entry.unregistered_at.is_none()) {
             return false;
         }
-        let reborn = known.is_none_or(|entry| entry.record.born_ms != record.born_ms);
+        let is_new_process = known.is_none_or(|entry| entry.record.started_ms != record.started_ms);
         let view = match known {
-            Some(entry) if !reborn => entry.view,
+            Some(entry) if !is_new_process => entry.view,
             _ => EndpointView::default(),
         };
-        let leaving_at = match known.and_then(|entry| entry.leaving_at) {
-            Some(at) if record.leaving && !reborn => Some(at),
+        let leaving_since = match known.and_then(|entry| entry.leaving_since) {
+            Some(at) if record.leaving && !is_new_process => Some(at),
             _ => record.leaving.then_some(now),
         };
         let service = self.services.entry(record.service.clone()).or_default();
         if !service.members.contains(&record.name) {
             service.members.push(record.name.clone());
         }
-        let entry = EndpointEntry { view, gone_at: None, leaving_at, record };
+        let entry = EndpointEntry { view, unregistered_at: None, leaving_since, record };
         self.endpoints.insert(entry.record.name.clone(), entry);
         true
     }
 
-    /// Records that a registration vanished; tells whether it was known.
-    pub fn remove_endpoint(&mut self, name: &str, now: Instant) -> bool {
+    /// Records that a registration vanished; returns whether the endpoint was registered before.
+    pub fn unregister_endpoint(&mut self, name: &str, now: Instant) -> bool {
         let Some(entry) = self.endpoints.get_mut(name) else {
             return false;
         };
-        let first = entry.gone_at.is_none();
-        entry.gone_at = entry.gone_at.or(Some(now));
-        first
+        let newly_unregistered = entry.unregistered_at.is_none();
+        entry.unregistered_at = entry.unregistered_at.or(Some(now));
+        newly_unregistered
     }
 
-    /// Forgets endpoints whose registration vanished a while ago, and returns their names.
-    pub fn forget_gone(&mut self, now: Instant) -> Vec<String> {
-        let is_past = |entry: &EndpointEntry| {
-            entry.gone_at.is_some_and(|at| now.saturating_duration_since(at) > 4 * GONE_GRACE)
+    /// Removes endpoints unregistered for four grace periods, and returns their names.
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<String> {
+        let is_expired = |entry: &EndpointEntry| {
+            entry
+                .unregistered_at
+                .is_some_and(|at| now.saturating_duration_since(at) > 4 * UNREGISTERED_GRACE_PERIOD)
         };
-        let past = self.endpoints.iter().filter(|(_, entry)| is_past(entry));
-        let names: Vec<String> = past.map(|(name, _)| name.clone()).collect();
+        let expired = self.endpoints.iter().filter(|(_, entry)| is_expired(entry));
+        let names: Vec<String> = expired.map(|(name, _)| name.clone()).collect();
         for name in &names {
             self.endpoints.remove(name);
             for service in self.services.values_mut() {
@@ -221,7 +224,7 @@
         names
     }
 
-    /// Returns an endpoint.
+    /// Returns an endpoint by its name.
     pub fn endpoint(&self, name: &str) -> Option<&EndpointEntry> {
         self.endpoints.get(name)
     }
@@ -231,49 +234,49 @@
         self.endpoints.keys().cloned().collect()
     }
 
-    /// Changes what was observed of an endpoint.
-    pub fn observe(&mut self, name: &str, change: impl FnOnce(&mut EndpointView)) {
+    /// Updates the observations of an endpoint; unknown endpoints are ignored.
+    pub fn update_view(&mut self, name: &str, change: impl FnOnce(&mut EndpointView)) {
         if let Some(entry) = self.endpoints.get_mut(name) {
             change(&mut entry.view);
         }
     }
 
-    /// Records a position proved by the leader of a service; true if the leader is new.
-    pub fn note_leader(&mut self, endpoint: &str, mark: Watermark) -> bool {
+    /// Records a watermark confirmed by a leader; returns whether the leader is new.
+    pub fn record_leader_watermark(&mut self, endpoint: &str, watermark: Watermark) -> bool {
         let Some(entry) = self.endpoints.get_mut(endpoint) else {
             return false;
         };
         entry.view.not_leader_at = None;
         let service = entry.record.service.clone();
-        self.services.entry(service.clone()).or_default().marks.record(mark);
-        self.hear_leader(&service, endpoint, mark.position.term)
+        self.services.entry(service.clone()).or_default().watermarks.record(watermark);
+        self.record_leader(&service, endpoint, watermark.position.term)
     }
 
-    /// Records which endpoint leads a service in a term; true if that is news.
-    pub fn hear_leader(&mut self, service: &str, endpoint: &str, term: u64) -> bool {
-        let knowledge = self.services.entry(service.to_owned()).or_default();
-        let known = knowledge.leader.as_ref();
+    /// Records the leader of a service in a term; returns whether the term is new.
+    pub fn record_leader(&mut self, service: &str, endpoint: &str, term: u64) -> bool {
+        let state = self.services.entry(service.to_owned()).or_default();
+        let known = state.leader.as_ref();
         if known.is_some_and(|(_, known_term)| *known_term >= term) {
             return false;
         }
-        knowledge.leader = Some((endpoint.to_owned(), term));
+        state.leader = Some((endpoint.to_owned(), term));
         true
     }
 
-    /// Records a mark that another instance passed on.
-    pub fn note_mark(&mut self, service: &str, mark: Watermark) {
-        self.services.entry(service.to_owned()).or_default().marks.record(mark);
+    /// Records a watermark received from another instance.
+    pub fn record_watermark(&mut self, service: &str, watermark: Watermark) {
+        self.services.entry(service.to_owned()).or_default().watermarks.record(watermark);
     }
 
-    /// Returns the marks of a service.
-    pub fn marks(&self, service: &str) -> Option<&WatermarkRing> {
-        self.services.get(service).map(|knowledge| &knowledge.marks)
+    /// Returns the watermarks of a service.
+    pub fn watermarks(&self, service: &str) -> Option<&WatermarkRing> {
+        self.services.get(service).map(|state| &state.watermarks)
     }
 
-    /// Returns the known leaders: service, endpoint, term.
+    /// Returns the known leaders, sorted: service, endpoint, term.
     pub fn leaders(&self) -> Vec<(String, String, u64)> {
-        let known = self.services.iter().filter_map(|(service, knowledge)| {
-            let (endpoint, term) = knowledge.leader.clone()?;
+        let known = self.services.iter().filter_map(|(service, state)| {
+            let (endpoint, term) = state.leader.clone()?;
             Some((service.clone(), endpoint, term))
         });
         let mut leaders: Vec<_> = known.collect();
@@ -281,74 +284,74 @@
         leaders
     }
 
-    /// Returns the members of a service.
+    /// Returns the names of the members of a service.
     pub fn members(&self, service: &str) -> &[String] {
-        self.services.get(service).map_or(&[], |knowledge| &knowledge.members)
+        self.services.get(service).map_or(&[], |state| &state.members)
     }
 
-    /// Returns the endpoint that leads a service as far as this instance knows.
+    /// Returns the most credible leader of a service that has not refused to lead recently.
     pub fn leader(&self, service: &str, now: Instant) -> Option<String> {
-        let claims = self.order_of_claims(service, now);
-        claims.into_iter().find(|name| !self.endpoints[*name].view.is_follower(now)).cloned()
+        let candidates = self.leader_candidates(service, now);
+        candidates.into_iter().find(|name| !self.endpoints[*name].view.is_follower(now)).cloned()
     }
 
     /// Returns the endpoints to try for a write, best first.
     ///
-    /// Others than those known or registered to lead are tried only if all of these say that they
-    /// do not lead: a leader that cannot be reached is still the only one that may take a write.
-    pub fn order_for_write(&self, service: &str, now: Instant) -> Vec<String> {
-        let usable = |name: &&String| self.endpoints[*name].is_usable(self.drain_limit, now);
-        let claims: Vec<&String> =
-            self.order_of_claims(service, now).into_iter().filter(usable).collect();
-        let led = claims.iter().any(|name| !self.endpoints[*name].view.is_follower(now));
-        let mut order: Vec<String> = claims.iter().map(|name| (*name).clone()).collect();
-        if !led {
+    /// Endpoints neither known nor registered as leader are included only if all leader candidates
+    /// have refused to lead: an unreachable leader is still the only one that may accept a write.
+    pub fn write_candidates(&self, service: &str, now: Instant) -> Vec<String> {
+        let usable = |name: &&String| self.endpoints[*name].accepts_work(self.drain_timeout, now);
+        let candidates: Vec<&String> =
+            self.leader_candidates(service, now).into_iter().filter(usable).collect();
+        let has_leader = candidates.iter().any(|name| !self.endpoints[*name].view.is_follower(now));
+        let mut order: Vec<String> = candidates.iter().map(|name| (*name).clone()).collect();
+        if !has_leader {
             let mut others: Vec<&String> = self
                 .members(service)
                 .iter()
                 .filter(usable)
-                .filter(|name| !claims.contains(name))
+                .filter(|name| !candidates.contains(name))
                 .collect();
             others.sort_by_key(|name| {
                 let entry = &self.endpoints[*name];
-                (entry.view.is_follower(now), !entry.stays(), entry.view.failed_recently(now))
+                (entry.view.is_follower(now), !entry.is_active(), entry.view.failed_recently(now))
             });
             order.extend(others.into_iter().cloned());
         }
         order
     }
 
-    /// Returns the endpoints known or registered to lead, the most credible first.
-    fn order_of_claims(&self, service: &str, now: Instant) -> Vec<&String> {
-        let Some(knowledge) = self.services.get(service) else {
+    /// Returns the endpoints known or registered as leader, the most credible first.
+    fn leader_candidates(&self, service: &str, now: Instant) -> Vec<&String> {
+        let Some(state) = self.services.get(service) else {
             return Vec::new();
         };
-        let proved = knowledge.leader.as_ref().map(|(endpoint, _)| endpoint);
-        let claims = |name: &&String| {
-            self.endpoints[*name].record.leads || proved.is_some_and(|leader| leader == *name)
+        let confirmed = state.leader.as_ref().map(|(endpoint, _)| endpoint);
+        let may_lead = |name: &&String| {
+            self.endpoints[*name].record.leads || confirmed.is_some_and(|leader| leader == *name)
         };
-        let mut order: Vec<&String> = knowledge.members.iter().filter(claims).collect();
+        let mut order: Vec<&String> = state.members.iter().filter(may_lead).collect();
         order.sort_by_key(|name| {
             let entry = &self.endpoints[*name];
-            // A leader that failed may have been replaced by one that has proved nothing yet.
-            (entry.view.is_follower(now), entry.view.failed_recently(now), proved != Some(*name))
+            // A failed leader may have been replaced by one that is not confirmed yet.
+            (entry.view.is_follower(now), entry.view.failed_recently(now), confirmed != Some(*name))
         });
         order
     }
 
-    /// Returns the endpoints to try for a read, best first, each with whether it leads.
-    pub fn order_for_read(
+    /// Returns the endpoints to try for a read, best first, each with whether it is the leader.
+    pub fn read_candidates(
         &self,
         service: &str,
         zone: &str,
-        needed: Option<LogPosition>,
+        required: Option<LogPosition>,
         now: Instant,
     ) -> Vec<(String, bool)> {
         let leader = self.leader(service, now);
         let leads = |name: &String| leader.as_ref() == Some(name);
         let serves = |name: &&String| {
             let entry = &self.endpoints[*name];
-            entry.is_usable(self.drain_limit, now) && (entry.stays() || leads(name))
+            entry.accepts_work(self.drain_timeout, now) && (entry.is_active() || leads(name))
         };
         let members: Vec<&String> = self.members(service).iter().filter(serves).collect();
         let candidate = |name: &&String| {
@@ -357,7 +360,7 @@
             ReadCandidate { view: entry.view, same_zone: near, leads: leads(name) }
         };
         let candidates: Vec<ReadCandidate> = members.iter().map(candidate).collect();
-        let order = order_for_read(&candidates, needed, now);
+        let order = order_for_read(&candidates, required, now);
         order.into_iter().map(|index| (members[index].clone(), candidates[index].leads)).collect()
     }
 }
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -8,9 +8,9 @@
 use telemetry::log_event;
 
 use crate::instance::{EngineTypes, GatewayInstance};
-use crate::link::RefusalCode;
+use crate::interface::RefusalCode;
 use crate::message::{
-    ExecuteCall, ExecuteOutcome, ExecuteReply, HoldReason, StatementAnswer, millis,
+    ExecuteCall, ExecuteOutcome, ExecuteReply, NotSentReason, StatementAnswer, millis,
 };
 
 /// Connection owners tried for one call, as long as none has sent it to the endpoint.
@@ -37,20 +37,20 @@
         deadline: Instant,
     ) -> OwnerReply {
         let mut last = None;
-        for owner in self.holders_of(&call.endpoint).into_iter().take(MAX_OWNER_ATTEMPTS) {
+        for owner in self.connection_owners(&call.endpoint).into_iter().take(MAX_OWNER_ATTEMPTS) {
             let now = self.now();
             if last.is_some() && now >= latest_start {
                 break;
             }
-            call.start_within_ms = millis(latest_start.saturating_duration_since(now)).max(1);
-            call.answer_within_ms = millis(deadline.saturating_duration_since(now)).max(1);
+            call.start_timeout_ms = millis(latest_start.saturating_duration_since(now)).max(1);
+            call.answer_timeout_ms = millis(deadline.saturating_duration_since(now)).max(1);
             let reply = self.dispatch_to(&owner, call.clone()).await;
             let try_next_owner = matches!(
                 reply.outcome,
                 ExecuteOutcome::NotSent {
-                    reason: HoldReason::Unreachable
-                        | HoldReason::NoHolder
-                        | HoldReason::UnknownEndpoint,
+                    reason: NotSentReason::Unreachable
+                        | NotSentReason::NoOwner
+                        | NotSentReason::UnknownEndpoint,
                     ..
                 }
             );
@@ -61,8 +61,8 @@
             last = Some(owner_reply);
         }
         last.unwrap_or_else(|| {
-            let outcome = ExecuteOutcome::NotSent { reason: HoldReason::NoHolder, retry_ms: 0 };
-            let reply = ExecuteReply { outcome, queue_ms: 0, mark: None };
+            let outcome = ExecuteOutcome::NotSent { reason: NotSentReason::NoOwner, retry_ms: 0 };
+            let reply = ExecuteReply { outcome, queue_wait_ms: 0, watermark: None };
             OwnerReply { owner: self.name().to_owned(), reply }
         })
     }
@@ -76,13 +76,13 @@
             return reply;
         }
         let Some(link) = self.peers.link(owner) else {
-            let outcome = ExecuteOutcome::NotSent { reason: HoldReason::NoHolder, retry_ms: 0 };
-            return ExecuteReply { outcome, queue_ms: 0, mark: None };
+            let outcome = ExecuteOutcome::NotSent { reason: NotSentReason::NoOwner, retry_ms: 0 };
+            return ExecuteReply { outcome, queue_wait_ms: 0, watermark: None };
         };
         let sent_at = self.now();
         let reply = link.execute(call).await;
         self.record_reply(&endpoint, &reply);
-        let Some((position, age_ms)) = reply.mark else {
+        let Some((position, age_ms)) = reply.watermark else {
             return reply;
         };
         // Subtracting the age from the time of sending ignores the round trip, so the watermark is
@@ -91,7 +91,7 @@
             let mut directory = self.directory.borrow_mut();
             let service = directory.endpoint(&endpoint).map(|entry| entry.record.service.clone());
             if let Some(service) = service {
-                directory.note_mark(&service, Watermark { as_of: asked_at, position });
+                directory.record_watermark(&service, Watermark { as_of: asked_at, position });
             }
         }
         reply
@@ -110,8 +110,8 @@
     fn record_reply(&self, endpoint: &str, reply: &ExecuteReply) {
         let now = self.now();
         let mut directory = self.directory.borrow_mut();
-        directory.observe(endpoint, |view| {
-            view.queue_delay = Some((Duration::from_millis(reply.queue_ms.into()), now));
+        directory.update_view(endpoint, |view| {
+            view.queue_delay = Some((Duration::from_millis(reply.queue_wait_ms.into()), now));
             match &reply.outcome {
                 ExecuteOutcome::Answered(answers) => {
                     view.failed_at = None;
@@ -120,8 +120,8 @@
                         view.position = Some((position, now));
                     }
                 }
-                ExecuteOutcome::Lost
-                | ExecuteOutcome::NotSent { reason: HoldReason::Unreachable, .. } => {
+                ExecuteOutcome::InDoubt
+                | ExecuteOutcome::NotSent { reason: NotSentReason::Unreachable, .. } => {
                     view.failed_at = Some(now);
                 }
                 ExecuteOutcome::NotSent { .. } => {}
@@ -143,7 +143,7 @@
         match (confirming_answer.error, confirming_answer.position) {
             (None, Some(position)) => {
                 let watermark = Watermark { as_of: sent_at, position };
-                if directory.note_leader(endpoint, watermark) {
+                if directory.record_leader_watermark(endpoint, watermark) {
                     log_event!(
                         LogEvent::PrimaryChanged,
                         "endpoint={endpoint} term={} source=proof",
@@ -152,7 +152,7 @@
                 }
             }
             (Some(RefusalCode::ReadOnly), _) => {
-                directory.observe(endpoint, |view| view.not_leader_at = Some(now));
+                directory.update_view(endpoint, |view| view.not_leader_at = Some(now));
             }
             _ => {}
         }
--- /dev/null
+++ b/crates/engine/src/failover.rs
@@ -0,0 +1,438 @@
+//! Failover coordinator: the instance that holds the promotion lease replaces failed leaders.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use coord::promotion::{
+    LEADER_GRACE_PERIOD, MemberObservation, MemberReport, PromotionDecision, PromotionMachine,
+};
+use coord::rendezvous;
+use metrics::counter;
+use telemetry::event::LogEvent;
+use telemetry::{log_event, meter};
+use tokio::time::sleep;
+
+use crate::instance::{EngineTypes, GatewayInstance};
+use crate::interface::{LeaseWrite, PlatformApi, PromotionAnswer};
+use crate::record::PromotionLease;
+
+/// Interval between checks of the lease and of the leaders.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Validity of the promotion lease; bounds how long a crashed holder blocks failover.
+const LEASE_TTL: Duration = Duration::from_secs(3);
+/// Time before the expiry of the lease at which it is renewed.
+const RENEWAL_MARGIN: Duration = Duration::from_millis(1_800);
+/// Delay before a failed read or write of the lease is retried.
+const LEASE_RETRY_BACKOFF: Duration = Duration::from_millis(400);
+/// Time without a known lease holder after which the lease is read and acquired.
+const VACANCY_GRACE_PERIOD: Duration = Duration::from_millis(500);
+/// Delay between probe rounds of one service.
+const PROBE_ROUND_DELAY: Duration = Duration::from_millis(120);
+/// Timeout of an indirect probe.
+const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(450);
+/// Number of instances asked for an indirect probe of a leader.
+const INDIRECT_PROBES: usize = 2;
+/// Maximum probes of a promoted member until it confirms that it is the leader; after that, the
+/// other instances discover it by their own statements.
+const MAX_PROMOTION_POLLS: usize = 12;
+/// Interval between these probes; a promotion takes a few hundred milliseconds.
+const PROMOTION_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Rendezvous hash key that elects the instance which acquires the lease.
+const COORDINATOR_ELECTION_KEY: &str = "promotion";
+
+/// Promotion lease as last written by this instance.
+#[derive(Debug, Default)]
+struct HeldLease {
+    lease: PromotionLease,
+    version: u64,
+    /// Local time until which the lease counts as valid, from the time its write was sent.
+    valid_until: Option<Instant>,
+    /// The token was used by a promotion that may still take effect, and must be incremented before
+    /// the next one.
+    token_used: bool,
+    attempted_at: Option<Instant>,
+}
+
+impl<E: EngineTypes> GatewayInstance<E> {
+    /// Maintains the promotion lease, and replaces failed leaders while this instance holds it.
+    pub async fn coordinate_failover(self: Rc<Self>) {
+        let held = Rc::new(RefCell::new(HeldLease::default()));
+        let mut vacant_since = None;
+        let mut machines: HashMap<String, Rc<RefCell<PromotionMachine>>> = HashMap::new();
+        loop {
+            sleep(CHECK_INTERVAL).await;
+            if self.is_leaving() {
+                self.release_lease(&held).await;
+                return;
+            }
+            if !self.directory.borrow().is_loaded() {
+                continue;
+            }
+            self.maintain_lease(&held, &mut vacant_since).await;
+            if self.promotion_token().is_none() {
+                continue;
+            }
+            let services: Vec<String> =
+                self.directory.borrow().document().service_names().map(str::to_owned).collect();
+            for service in services {
+                let machine = machines.entry(service.clone()).or_default().clone();
+                // A third reference belongs to a task that is already evaluating this service.
+                if Rc::strong_count(&machine) > 2 || !self.is_leader_suspect(&service, &machine) {
+                    continue;
+                }
+                let (node, held) = (self.clone(), held.clone());
+                tokio::task::spawn_local(async move {
+                    node.evaluate_failover(&service, &machine, &held).await;
+                    sleep(PROBE_ROUND_DELAY).await;
+                });
+            }
+        }
+    }
+
+    /// Acquires the lease when no instance holds it, and renews it before it expires.
+    async fn maintain_lease(&self, held: &RefCell<HeldLease>, vacant_since: &mut Option<Instant>) {
+        let now = self.now();
+        let (valid_until, attempted_at) = {
+            let held = held.borrow();
+            (held.valid_until, held.attempted_at)
+        };
+        let backing_off =
+            attempted_at.is_some_and(|at| now.saturating_duration_since(at) < LEASE_RETRY_BACKOFF);
+        if backing_off {
+            return;
+        }
+        if self.promotion_token().is_some() {
+            let expires_at = valid_until.unwrap_or(now);
+            if now + RENEWAL_MARGIN >= expires_at {
+                self.renew_lease(held).await;
+            }
+            return;
+        }
+        let peers = self.peers.live();
+        let own_token = held.borrow().lease.token;
+        let held_by_peer = peers
+            .iter()
+            .any(|peer| peer.status().promotion_token.is_some_and(|token| token > own_token));
+        let names = self.peers.active_names(false);
+        let rank = rendezvous::rank(
+            COORDINATOR_ELECTION_KEY,
+            self.name(),
+            names.iter().map(String::as_str),
+        );
+        if held_by_peer || rank > 0 {
+            *vacant_since = None;
+            return;
+        }
+        let since = *vacant_since.get_or_insert(now);
+        if now.saturating_duration_since(since) >= VACANCY_GRACE_PERIOD {
+            self.acquire_lease(held).await;
+        }
+    }
+
+    async fn acquire_lease(&self, held: &RefCell<HeldLease>) {
+        held.borrow_mut().attempted_at = Some(self.now());
+        let snapshot = match self.platform.read_lease().await {
+            Ok(snapshot) => snapshot,
+            Err(error) => {
+                log_event!(LogEvent::PromotionLeaseFailed, "step=read cause=\"{error}\"");
+                return;
+            }
+        };
+        let current = snapshot.lease.unwrap_or_default();
+        let is_own = current.holder == self.name();
+        if !is_own && current.ends_ms > snapshot.now_ms {
+            // Both times are by the store's clock, so the difference needs no synchronized clocks.
+            let remaining = Duration::from_millis(current.ends_ms - snapshot.now_ms);
+            held.borrow_mut().attempted_at =
+                Some(self.now() + remaining.saturating_sub(LEASE_RETRY_BACKOFF));
+            return;
+        }
+        self.write_lease(held, snapshot.version, snapshot.now_ms, current.token + 1).await;
+    }
+
+    async fn renew_lease(&self, held: &RefCell<HeldLease>) {
+        let (version, token, ends_ms, valid_until) = {
+            let held = held.borrow();
+            (held.version, held.lease.token, held.lease.ends_ms, held.valid_until)
+        };
+        let now = self.now();
+        // Lower bound of the store's current time: its clock was at `ends_ms` minus the TTL or
+        // later when the last write was sent.
+        let remaining =
+            valid_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
+        let overdue =
+            valid_until.map_or(Duration::ZERO, |until| now.saturating_duration_since(until));
+        let store_now = (ends_ms + millis(overdue)).saturating_sub(millis(remaining));
+        self.write_lease(held, version, store_now, token).await;
+    }
+
+    async fn write_lease(
+        &self,
+        held: &RefCell<HeldLease>,
+        version: u64,
+        store_ms: u64,
+        token: u64,
+    ) {
+        let sent_at = self.now();
+        held.borrow_mut().attempted_at = Some(sent_at);
+        let lease = PromotionLease {
+            holder: self.name().to_owned(),
+            incarnation: self.settings.record.incarnation,
+            token,
+            ends_ms: store_ms + millis(LEASE_TTL),
+        };
+        match self.platform.write_lease(version, &lease).await {
+            Ok(LeaseWrite::Written { version, .. }) => {
+                let mut held = held.borrow_mut();
+                held.token_used &= held.lease.token == token;
+                held.lease = lease;
+                held.version = version;
+                held.valid_until = Some(sent_at + LEASE_TTL);
+                held.attempted_at = None;
+                self.set_promotion_token(Some(token));
+            }
+            Ok(LeaseWrite::Conflict) => self.drop_lease(held, "another instance wrote the lease"),
+            Err(error) => {
+                // The write may have taken effect; the next attempt detects it by the version.
+                log_event!(LogEvent::PromotionLeaseFailed, "step=write cause=\"{error}\"");
+                self.check_expiry(held);
+            }
+        }
+    }
+
+    /// Drops the lease if it expired and an instance that reaches the store may have acquired it.
+    fn check_expiry(&self, held: &RefCell<HeldLease>) {
+        let expired = held.borrow().valid_until.is_none_or(|until| self.now() > until);
+        let replaced = self.peers.live().iter().any(|peer| peer.status().store_reachable);
+        if expired && replaced {
+            self.drop_lease(held, "the lease expired");
+        }
+    }
+
+    fn drop_lease(&self, held: &RefCell<HeldLease>, cause: &str) {
+        if self.promotion_token().is_some() {
+            log_event!(LogEvent::PromotionLeaseFailed, "step=keep cause=\"{cause}\"");
+        }
+        held.borrow_mut().valid_until = None;
+        self.set_promotion_token(None);
+    }
+
+    /// Expires the lease early, so that another instance can acquire it at once.
+    async fn release_lease(&self, held: &RefCell<HeldLease>) {
+        if self.promotion_token().is_none() {
+            return;
+        }
+        self.set_promotion_token(None);
+        let (version, lease) = {
+            let held = held.borrow();
+            (held.version, PromotionLease { ends_ms: 0, ..held.lease.clone() })
+        };
+        if let Err(error) = self.platform.write_lease(version, &lease).await {
+            log_event!(LogEvent::PromotionLeaseFailed, "step=release cause=\"{error}\"");
+        }
+    }
+
+    /// Returns whether any instance suspects that a service has lost its leader or that the leader
+    /// is leaving.
+    fn is_leader_suspect(&self, service: &str, machine: &RefCell<PromotionMachine>) -> bool {
+        let now = self.now();
+        let directory = self.directory.borrow();
+        if directory.members(service).is_empty() {
+            return false;
+        }
+        let suspected = match directory.leader(service, now) {
+            None => true,
+            Some(leader) => {
+                let active = directory.endpoint(&leader).is_some_and(|entry| entry.is_active());
+                let failing =
+                    |since: Instant| now.saturating_duration_since(since) >= LEADER_GRACE_PERIOD;
+                !active
+                    || self.pools.unreachable_since(&leader).is_some_and(failing)
+                    || self
+                        .peers
+                        .live()
+                        .iter()
+                        .any(|peer| peer.status().unreachable_endpoints.contains(&leader))
+            }
+        };
+        machine.borrow().needs_probe(suspected, now)
+    }
+
+    /// Probes the members of a service and replaces its leader if it is unreachable or leaving.
+    async fn evaluate_failover(
+        self: &Rc<Self>,
+        service: &str,
+        machine: &RefCell<PromotionMachine>,
+        held: &RefCell<HeldLease>,
+    ) {
+        let (leader, members, synchronous) = {
+            let directory = self.directory.borrow();
+            let document = directory.document();
+            let synchronous =
+                document.service(service).map_or(0, |service| service.synchronous_replicas);
+            let leader = directory.leader(service, self.now());
+            (leader, directory.members(service).to_vec(), synchronous)
+        };
+        let probed_indirectly = async {
+            match &leader {
+                Some(leader) => self.probe_indirectly(leader).await,
+                None => false,
+            }
+        };
+        let (reports, probed_indirectly) =
+            tokio::join!(self.probe_members(&members), probed_indirectly);
+        let now = self.now();
+        let leading = self.record_reports(&members, &reports);
+        let leader = leading.or(leader);
+        let leader_index =
+            leader.as_ref().and_then(|name| members.iter().position(|other| other == name));
+        let answered = leader_index.is_some_and(|index| reports[index].is_some());
+        machine.borrow_mut().record_probe_round(answered || probed_indirectly, now);
+        let decision = {
+            let directory = self.directory.borrow();
+            let observation = |(name, report): (&String, &Option<MemberReport>)| {
+                let active = directory.endpoint(name).is_some_and(|entry| entry.is_active());
+                (name.clone(), active, *report)
+            };
+            let observations: Vec<_> = members.iter().zip(&reports).map(observation).collect();
+            let borrowed: Vec<MemberObservation<'_>> = observations
+                .iter()
+                .map(|(name, active, report)| MemberObservation {
+                    name,
+                    is_active: *active,
+                    report: *report,
+                })
+                .collect();
+            machine.borrow().decide(leader_index, &borrowed, synchronous)
+        };
+        if let PromotionDecision::Promote(index, cause) = decision {
+            let (name, was) = (&members[index], leader.as_deref().unwrap_or("none"));
+            log_event!(
+                LogEvent::PromotionStarted,
+                "service={service} endpoint={name} cause={cause:?} was={was} reports={reports:?}"
+            );
+            machine.borrow_mut().record_promotion(now);
+            if self.request_promotion(service, name, held).await {
+                self.await_leader(name).await;
+            }
+        }
+    }
+
+    /// Probes a promoted member until it leads, so that other instances learn of it without the
+    /// store.
+    async fn await_leader(&self, endpoint: &str) {
+        for _ in 0..MAX_PROMOTION_POLLS {
+            sleep(PROMOTION_POLL_INTERVAL).await;
+            let members = [endpoint.to_owned()];
+            let reports = [self.probe_member(endpoint).await];
+            if self.record_reports(&members, &reports).is_some() {
+                self.status_changed.notify_waiters();
+                return;
+            }
+        }
+    }
+
+    /// Records the member that reports to lead in the newest term, and returns its name.
+    fn record_reports(
+        &self,
+        members: &[String],
+        reports: &[Option<MemberReport>],
+    ) -> Option<String> {
+        let leading = members.iter().zip(reports).filter_map(|(name, report)| {
+            let report = report.filter(|report| report.leads)?;
+            Some((report.term, name))
+        });
+        let (term, name) = leading.max()?;
+        let mut directory = self.directory.borrow_mut();
+        let service = directory.endpoint(name)?.record.service.clone();
+        directory.record_leader(&service, name, term);
+        Some(name.clone())
+    }
+
+    async fn probe_members(&self, members: &[String]) -> Vec<Option<MemberReport>> {
+        let mut reports = Vec::with_capacity(members.len());
+        let mut probes: Vec<_> =
+            members.iter().map(|member| Box::pin(self.probe_member(member))).collect();
+        // Probes run concurrently, so that an unreachable member does not delay the others.
+        let joined = std::future::poll_fn(|context| {
+            let mut ready = true;
+            for (index, probe) in probes.iter_mut().enumerate() {
+                if reports.len() <= index {
+                    reports.resize(index + 1, None);
+                }
+                if reports[index].is_none() {
+                    match probe.as_mut().poll(context) {
+                        std::task::Poll::Ready(report) => reports[index] = Some(report),
+                        std::task::Poll::Pending => ready = false,
+                    }
+                }
+            }
+            if ready { std::task::Poll::Ready(()) } else { std::task::Poll::Pending }
+        });
+        joined.await;
+        reports.into_iter().map(Option::flatten).collect()
+    }
+
+    /// Returns whether another instance reaches a member; asks other availability zones first.
+    async fn probe_indirectly(&self, endpoint: &str) -> bool {
+        let mut peers = self.peers.live();
+        let zone = &self.settings.record.zone;
+        peers.sort_by_key(|peer| (peer.record.zone == *zone, peer.record.name.clone()));
+        for peer in peers.into_iter().take(INDIRECT_PROBES) {
+            if peer.probe(endpoint, INDIRECT_PROBE_TIMEOUT).await == Some(true) {
+                return true;
+            }
+        }
+        false
+    }
+
+    async fn request_promotion(
+        &self,
+        service: &str,
+        endpoint: &str,
+        held: &RefCell<HeldLease>,
+    ) -> bool {
+        if held.borrow().token_used {
+            let (version, token, valid_until) = {
+                let held = held.borrow();
+                (held.version, held.lease.token + 1, held.valid_until)
+            };
+            let remaining = valid_until
+                .map_or(Duration::ZERO, |until| until.saturating_duration_since(self.now()));
+            let store_now = held.borrow().lease.ends_ms.saturating_sub(millis(remaining));
+            self.write_lease(held, version, store_now, token).await;
+        }
+        let Some(token) = self.promotion_token() else {
+            return false;
+        };
+        let promoted = self.platform.promote(service, endpoint, self.name(), token).await;
+        let outcome = match &promoted {
+            Ok(PromotionAnswer::Accepted) => "accepted".to_owned(),
+            Ok(PromotionAnswer::Rejected) => {
+                held.borrow_mut().token_used = true;
+                "rejected".to_owned()
+            }
+            Err(error) => {
+                held.borrow_mut().token_used = true;
+                error.to_string()
+            }
+        };
+        let label = match &promoted {
+            Ok(PromotionAnswer::Accepted) => "accepted",
+            Ok(PromotionAnswer::Rejected) => "rejected",
+            Err(_) => "unanswered",
+        };
+        counter!(meter::PROMOTIONS, "outcome" => label).increment(1);
+        log_event!(
+            LogEvent::PromotionEnded,
+            "service={service} endpoint={endpoint} token={token} outcome=\"{outcome}\""
+        );
+        matches!(promoted, Ok(PromotionAnswer::Accepted))
+    }
+}
+
+fn millis(span: Duration) -> u64 {
+    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+}
--- a/crates/engine/src/instance.rs
+++ b/crates/engine/src/instance.rs
@@ -14,16 +14,16 @@
 
 use crate::connection_owner::ConnectionPools;
 use crate::directory::FleetDirectory;
-use crate::link::{PlatformLink, RowChange, WireCodec};
+use crate::interface::{PlatformApi, RowChange, WireCodec};
 use crate::message::InstanceStatus;
 use crate::peer::PeerTable;
 use crate::record::InstanceRecord;
-use crate::tables::TableCopies;
+use crate::tables::TableCaches;
 
 /// Platform and protocol that an instance is built for.
 pub trait EngineTypes: 'static {
     /// Services of the platform.
-    type Platform: PlatformLink;
+    type Platform: PlatformApi;
     /// Codec of the protocol that callers and endpoints speak.
     type Codec: WireCodec;
 }
@@ -64,7 +64,7 @@
     /// Document in force, endpoints and leaders.
     pub directory: RefCell<FleetDirectory>,
     /// Cached tables of the platform.
-    pub tables: RefCell<TableCopies>,
+    pub tables: RefCell<TableCaches>,
     /// Tracks when the document in force was last validated as the newest.
     pub validation: RefCell<ValidationTracker>,
     /// Links to peer instances.
@@ -120,7 +120,7 @@
     /// Applies limits that changed in the settings while the instance runs.
     pub fn update_limits(&self, grace_period: Duration, drain_timeout: Duration) {
         self.grace_period.set(grace_period);
-        self.directory.borrow_mut().set_drain_limit(drain_timeout);
+        self.directory.borrow_mut().set_drain_timeout(drain_timeout);
     }
 
     /// Returns the time from the stop signal until the process is killed.
@@ -140,7 +140,7 @@
 
     /// Returns whether the instance can serve callers and is not leaving.
     pub fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.directory.borrow().is_complete() && self.is_document_validated()
+        !self.is_leaving() && self.directory.borrow().is_loaded() && self.is_document_validated()
     }
 
     /// Returns whether keys may be accepted, because the document was validated recently enough to
@@ -268,10 +268,10 @@
         let directory = self.directory.borrow();
         InstanceStatus {
             leaving: self.is_leaving(),
-            tables: self.tables.borrow().versions(),
-            duty: self.promotion_token.get(),
-            store_reached: self.store_reachable.get(),
-            failing: self.pools.unreachable_endpoints(),
+            table_versions: self.tables.borrow().versions(),
+            promotion_token: self.promotion_token.get(),
+            store_reachable: self.store_reachable.get(),
+            unreachable_endpoints: self.pools.unreachable_endpoints(),
             leaders: directory.leaders(),
         }
     }
@@ -290,7 +290,7 @@
                     );
                 }
             }
-            RowChange::DocumentUnreadable(reason) => {
+            RowChange::DocumentInvalid(reason) => {
                 log_event!(LogEvent::DocumentRefused, "cause=\"{reason}\"");
             }
             RowChange::Endpoint(record) => {
@@ -302,8 +302,8 @@
                     log_event!(LogEvent::EndpointListed, "{line}");
                 }
             }
-            RowChange::EndpointGone { name, reason } => {
-                if self.directory.borrow_mut().remove_endpoint(&name, now) {
+            RowChange::EndpointRemoved { name, reason } => {
+                if self.directory.borrow_mut().unregister_endpoint(&name, now) {
                     let reason = reason.unwrap_or_else(|| "row removed".to_owned());
                     log_event!(LogEvent::EndpointUnlisted, "endpoint={name} cause=\"{reason}\"");
                 }
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use crate::instance::{EngineTypes, GatewayInstance};
-use crate::link::{PlatformLink, WatchedTable};
+use crate::interface::{PlatformApi, WatchedTable};
 
 /// Fraction of the grace period after which the instance stops waiting for open sessions.
 const DRAIN_FRACTION: f64 = 0.85;
@@ -43,11 +43,11 @@
         tokio::task::spawn_local(self.clone().accept_callers(callers));
         tokio::task::spawn_local(self.clone().watch_table(WatchedTable::Document));
         tokio::task::spawn_local(self.clone().watch_table(WatchedTable::Endpoints));
-        tokio::task::spawn_local(self.clone().keep_registered());
-        tokio::task::spawn_local(self.clone().heal_tables());
+        tokio::task::spawn_local(self.clone().register_and_discover());
+        tokio::task::spawn_local(self.clone().run_anti_entropy());
         tokio::task::spawn_local(self.clone().ping_peers());
         tokio::task::spawn_local(self.clone().track_reachability());
-        tokio::task::spawn_local(self.clone().serve_duty());
+        tokio::task::spawn_local(self.clone().coordinate_failover());
         let instance = self.clone();
         tokio::task::spawn_local(async move {
             loop {
@@ -68,7 +68,7 @@
     pub async fn stop(self: &Rc<Self>) {
         log_event!(LogEvent::DrainStarted, "callers={}", self.caller_count.get());
         self.start_leaving();
-        let removal = self.platform.remove_instance(self.name());
+        let removal = self.platform.unregister_instance(self.name());
         let started_at = self.now();
         tokio::pin!(removal);
         let removed = tokio::time::timeout(LEAVE_NOTICE_PERIOD, removal).await;
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -1,4 +1,4 @@
-//! Connections between instances: calls, signs of life and what instances tell each other.
+//! Connections between instances: discovery, pings, status updates and requests.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,26 +16,26 @@
 use tokio::time::{sleep, timeout};
 
 use crate::instance::{EngineTypes, GatewayInstance};
-use crate::message::{DocumentProof, InstanceStatus, PeerReply, PeerRequest, decode, millis};
+use crate::message::{DocumentValidation, InstanceStatus, PeerReply, PeerRequest, decode, millis};
 use crate::peer_link::{OutputQueue, PING_TIMEOUT, PeerLink, StatusPublisher, close_link};
 use crate::record::InstanceRecord;
 
-/// Time in which a connection to another instance must open.
+/// Timeout of opening a connection to another instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause between attempts to reach another instance.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(250);
-/// Time between looks at which instances must be asked for a sign of life.
-const PING_TICK: Duration = Duration::from_millis(200);
-/// Time without a sign of life after which an instance with no call outstanding is asked for one.
-const IDLE_PERIOD: Duration = Duration::from_millis(1_000);
-/// Time without a ping after which the caller's side of a connection counts as gone.
-const CALLER_LIMIT: Duration = Duration::from_millis(2_500);
-/// Time for which an instance that cannot be reached stays registered.
-const MOURNING_TIME: Duration = Duration::from_secs(20);
-/// Bytes read at once.
-const READ_BYTES: usize = 8_192;
+/// Delay between attempts to connect to another instance.
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(250);
+/// Interval of the ping loop; instances with calls in flight are pinged every time.
+const PING_INTERVAL: Duration = Duration::from_millis(200);
+/// Time without a response after which an instance without calls in flight is pinged.
+const IDLE_PING_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Time without a ping after which an inbound connection is closed and its transactions end.
+const INBOUND_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time after which an unreachable instance is no longer known.
+const UNREACHABLE_PEER_TTL: Duration = Duration::from_secs(20);
+/// Buffer space reserved for each read.
+const READ_CHUNK_BYTES: usize = 8_192;
 
-/// Other instances.
+/// Table of connections to all other known instances.
 #[derive(Debug)]
 pub struct PeerTable {
     own: InstanceRecord,
@@ -43,40 +43,42 @@
 }
 
 impl PeerTable {
-    /// Creates a table without other instances.
+    /// Creates a table without connections.
     pub fn new(own: InstanceRecord) -> Self {
         Self { own, links: RefCell::default() }
     }
 
-    /// Returns the connection to an instance.
+    /// Returns the connection to an instance by its name.
     pub fn link(&self, name: &str) -> Option<Rc<PeerLink>> {
         self.links.borrow().get(name).cloned()
     }
 
-    /// Returns the connections to instances that answer.
+    /// Returns the connections to all reachable instances.
     pub fn live(&self) -> Vec<Rc<PeerLink>> {
         self.links.borrow().values().filter(|link| link.is_live()).cloned().collect()
     }
 
-    /// Returns how many instances are known, this one included.
-    pub fn registered(&self) -> usize {
+    /// Returns the number of known instances, including this one.
+    pub fn registered_count(&self) -> usize {
         self.links.borrow().len() + 1
     }
 
-    /// Returns the names of the instances that answer and stay, this one included.
-    pub fn staying(&self, leaving: bool) -> Vec<String> {
+    /// Returns the names of reachable instances that are not leaving.
+    ///
+    /// This instance is included unless it is `leaving` and others remain.
+    pub fn active_names(&self, leaving: bool) -> Vec<String> {
         let links = self.links.borrow();
-        let stays = links.values().filter(|link| link.is_live() && !link.status.borrow().leaving);
-        let mut names: Vec<String> = stays.map(|link| link.record.name.clone()).collect();
+        let active = links.values().filter(|link| link.is_live() && !link.status.borrow().leaving);
+        let mut names: Vec<String> = active.map(|link| link.record.name.clone()).collect();
         if !leaving || names.is_empty() {
             names.push(self.own.name.clone());
         }
         names
     }
 
-    /// Returns the instances that may hold an endpoint's connections, the first choice first.
-    pub fn holders(&self, endpoint: &str, zone: &str, leaving: bool) -> Vec<String> {
-        let names = self.staying(leaving);
+    /// Returns the candidate owners of an endpoint's connections, best first.
+    pub fn ordered_owners(&self, endpoint: &str, zone: &str, leaving: bool) -> Vec<String> {
+        let names = self.active_names(leaving);
         let links = self.links.borrow();
         let zone_of = |name: &str| links.get(name).map_or(&self.own.zone, |link| &link.record.zone);
         let candidates: Vec<OwnerCandidate<'_>> = names
@@ -88,57 +90,59 @@
 }
 
 impl<E: EngineTypes> GatewayInstance<E> {
-    /// Returns the instances that may hold an endpoint's connections, the first choice first.
+    /// Returns the candidate owners of an endpoint's connections, best first.
     ///
-    /// Those that cannot reach it come last, so that all instances agree on another one.
-    pub fn holders_of(&self, endpoint: &str) -> Vec<String> {
+    /// Instances that report the endpoint as unreachable come last, so that all instances agree on
+    /// another owner.
+    pub fn connection_owners(&self, endpoint: &str) -> Vec<String> {
         let directory = self.directory.borrow();
         let zone = directory.endpoint(endpoint).map_or("", |entry| entry.record.zone.as_str());
-        let mut holders = self.peers.holders(endpoint, zone, self.is_leaving());
-        holders.sort_by_key(|name| {
+        let mut owners = self.peers.ordered_owners(endpoint, zone, self.is_leaving());
+        owners.sort_by_key(|name| {
             if name == self.name() {
                 return self.pools.unreachable_since(endpoint).is_some();
             }
             let link = self.peers.link(name);
             link.is_some_and(|link| {
-                link.status.borrow().failing.iter().any(|name| name == endpoint)
+                link.status.borrow().unreachable_endpoints.iter().any(|name| name == endpoint)
             })
         });
-        holders
+        owners
     }
 
-    /// Connects to an instance that was heard of.
-    pub fn meet(self: &Rc<Self>, record: InstanceRecord) {
+    /// Connects to a discovered instance, or reconnects if its registration changed.
+    pub fn connect_peer(self: &Rc<Self>, record: InstanceRecord) {
         if record.name == self.name() {
             return;
         }
-        let known = self.peers.link(&record.name);
-        if known.as_ref().is_some_and(|link| link.record == record) {
+        let existing = self.peers.link(&record.name);
+        if existing.as_ref().is_some_and(|link| link.record == record) {
             return;
         }
-        if let Some(link) = known {
+        if let Some(link) = existing {
             link.superseded.set(true);
             close_link(&link);
         }
         let link = Rc::new(PeerLink::new(record, self.now()));
         self.peers.links.borrow_mut().insert(link.record.name.clone(), link.clone());
         let node = self.clone();
-        tokio::task::spawn_local(async move { node.keep_link(link).await });
+        tokio::task::spawn_local(async move { node.maintain_link(link).await });
     }
 
-    /// Keeps a connection to another instance open until it is gone for good.
-    async fn keep_link(self: Rc<Self>, link: Rc<PeerLink>) {
+    /// Keeps a connection to another instance open until it is replaced or unreachable for too
+    /// long.
+    async fn maintain_link(self: Rc<Self>, link: Rc<PeerLink>) {
         while !link.superseded.get() {
             let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(link.record.address)).await;
             if let Ok(Ok(stream)) = opened {
-                self.serve_link(&link, stream).await;
+                self.run_link(&link, stream).await;
             }
             let now = self.now();
             let lost_at = link.unreachable_since.get().unwrap_or(now);
-            if now.saturating_duration_since(lost_at) > MOURNING_TIME {
+            if now.saturating_duration_since(lost_at) > UNREACHABLE_PEER_TTL {
                 break;
             }
-            sleep(RECONNECT_PAUSE).await;
+            sleep(RECONNECT_BACKOFF).await;
         }
         if !link.superseded.get() {
             self.peers.links.borrow_mut().remove(&link.record.name);
@@ -146,8 +150,8 @@
         }
     }
 
-    async fn serve_link(&self, link: &Rc<PeerLink>, stream: TcpStream) {
-        // A socket without the option still works, only with more delay.
+    async fn run_link(&self, link: &Rc<PeerLink>, stream: TcpStream) {
+        // Without this option the connection works, only with higher latency.
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
         let output = Rc::new(OutputQueue::default());
@@ -168,15 +172,15 @@
         }
     }
 
-    /// Asks the other instances for signs of life, and closes connections that give none.
+    /// Pings the other instances, and closes connections whose ping times out.
     ///
-    /// Those with calls outstanding are asked at every tick, the others seldom: with many
-    /// instances most of them have nothing to say to each other.
+    /// Instances with calls in flight are pinged at every interval, others only when idle for
+    /// longer: among many instances, most pairs have no traffic.
     pub async fn ping_peers(self: Rc<Self>) {
         loop {
-            sleep(PING_TICK).await;
+            sleep(PING_INTERVAL).await;
             let now = self.now();
-            let needs_proof =
+            let needs_validation =
                 self.max_validation_age().is_some_and(|limit| self.validation_is_older(limit / 2));
             let links: Vec<Rc<PeerLink>> = self.peers.links.borrow().values().cloned().collect();
             for link in links {
@@ -190,14 +194,20 @@
                     output.close();
                     continue;
                 }
-                let quiet = link.last_response_at.get().is_none()
-                    || older(link.last_response_at.get(), IDLE_PERIOD);
-                if quiet || needs_proof || link.has_pending_calls() {
-                    let number = link.new_call_id();
-                    output.push(&PeerRequest::Ping { number, known: link.status_version.get() });
-                    if link.validation_ping.get().is_none_or(|(_, at)| older(Some(at), IDLE_PERIOD))
+                let idle = link.last_response_at.get().is_none()
+                    || older(link.last_response_at.get(), IDLE_PING_INTERVAL);
+                if idle || needs_validation || link.has_pending_calls() {
+                    let ping_id = link.new_call_id();
+                    output.push(&PeerRequest::Ping {
+                        ping_id,
+                        known_version: link.status_version.get(),
+                    });
+                    if link
+                        .validation_ping
+                        .get()
+                        .is_none_or(|(_, at)| older(Some(at), IDLE_PING_INTERVAL))
                     {
-                        link.validation_ping.set(Some((number, now)));
+                        link.validation_ping.set(Some((ping_id, now)));
                     }
                     link.unanswered_since.set(link.unanswered_since.get().or(Some(now)));
                 }
@@ -213,7 +223,7 @@
     ) {
         let mut input = BytesMut::new();
         loop {
-            input.reserve(READ_BYTES);
+            input.reserve(READ_CHUNK_BYTES);
             match reader.read_buf(&mut input).await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
@@ -221,9 +231,11 @@
             loop {
                 match decode::<PeerReply>(&mut input) {
                     Ok(Some(reply)) => {
-                        self.hear(link, output);
-                        if let PeerReply::Pong { number, proof: Some(proof), .. } = &reply {
-                            self.hear_proof(link, *number, *proof);
+                        self.record_response(link, output);
+                        if let PeerReply::Pong { ping_id, validation: Some(validation), .. } =
+                            &reply
+                        {
+                            self.record_validation(link, *ping_id, *validation);
                         }
                         link.handle_reply(reply);
                     }
@@ -236,11 +248,11 @@
                 }
             }
             let status = link.status.borrow();
-            self.hear_status(&status);
+            self.record_leaders(&status);
         }
     }
 
-    fn hear(&self, link: &PeerLink, output: &Rc<OutputQueue>) {
+    fn record_response(&self, link: &PeerLink, output: &Rc<OutputQueue>) {
         link.last_response_at.set(Some(self.now()));
         link.unanswered_since.set(None);
         if link.unreachable_since.take().is_some() {
@@ -249,9 +261,12 @@
         }
     }
 
-    /// Takes another instance's proof of its document, counted from before it was asked.
-    fn hear_proof(&self, link: &PeerLink, number: u32, proof: DocumentProof) {
-        let Some((_, asked_at)) = link.validation_ping.get().filter(|(asked, _)| *asked == number)
+    /// Records the document validation of another instance.
+    ///
+    /// Its age counts from the time the ping was sent, so that the delay of the answer cannot make
+    /// it look newer.
+    fn record_validation(&self, link: &PeerLink, ping_id: u32, validation: DocumentValidation) {
+        let Some((_, sent_at)) = link.validation_ping.get().filter(|(sent, _)| *sent == ping_id)
         else {
             return;
         };
@@ -259,26 +274,26 @@
         let [version, _] = self.tables.borrow().versions();
         let mut confirmation = self.validation.borrow_mut();
         confirmation.adopt(version);
-        let word = HeartbeatOutcome::Answered {
-            version: proof.version,
-            validation_age: Some(Duration::from_millis(proof.age_ms.into())),
+        let answer = HeartbeatOutcome::Answered {
+            version: validation.version,
+            validation_age: Some(Duration::from_millis(validation.age_ms.into())),
             store_down: false,
         };
-        confirmation.record_peer(number.into(), asked_at, word);
+        confirmation.record_peer(ping_id.into(), sent_at, answer);
     }
 
-    /// Returns the proof of the own document for other instances.
-    fn document_proof(&self) -> Option<DocumentProof> {
+    /// Returns the validation of the own document for other instances.
+    fn document_validation(&self) -> Option<DocumentValidation> {
         self.settings.revocation_bound?;
         let confirmation = self.validation.borrow();
         let age = confirmation.validation_age(self.now())?;
-        Some(DocumentProof { version: confirmation.version(), age_ms: millis(age) + 1 })
+        Some(DocumentValidation { version: confirmation.version(), age_ms: millis(age) + 1 })
     }
 
-    fn hear_status(&self, status: &InstanceStatus) {
+    fn record_leaders(&self, status: &InstanceStatus) {
         let mut directory = self.directory.borrow_mut();
         for (service, endpoint, term) in &status.leaders {
-            if directory.hear_leader(service, endpoint, *term) {
+            if directory.record_leader(service, endpoint, *term) {
                 log_event!(
                     LogEvent::PrimaryChanged,
                     "service={service} endpoint={endpoint} term={term} source=peer"
@@ -287,7 +302,7 @@
         }
     }
 
-    /// Accepts connections of other instances.
+    /// Accepts connections from other instances.
     pub async fn accept_peers(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -297,7 +312,7 @@
                 }
                 Err(error) => {
                     log_event!(LogEvent::PeerLost, "cause=\"accept failed: {error}\"");
-                    sleep(RECONNECT_PAUSE).await;
+                    sleep(RECONNECT_BACKOFF).await;
                 }
             }
         }
@@ -308,11 +323,11 @@
         let (reader, writer) = stream.into_split();
         let output = Rc::new(OutputQueue::default());
         let origin = self.pools.register_origin();
-        let teller = StatusPublisher::default();
+        let publisher = StatusPublisher::default();
         tokio::select! {
             () = output.drain(writer) => {}
-            () = self.read_peer(origin, &output, &teller, reader) => {}
-            () = self.announce_status(&output, &teller) => {}
+            () = self.read_peer(origin, &output, &publisher, reader) => {}
+            () = self.push_status(&output, &publisher) => {}
         }
         output.close();
         self.unregister_origin(origin);
@@ -322,14 +337,14 @@
         self: &Rc<Self>,
         origin: u64,
         output: &Rc<OutputQueue>,
-        teller: &StatusPublisher,
+        publisher: &StatusPublisher,
         mut reader: OwnedReadHalf,
     ) {
         let mut input = BytesMut::new();
         loop {
-            input.reserve(READ_BYTES);
-            // The other side pings; without a sign of life its transactions must not linger.
-            match timeout(CALLER_LIMIT, reader.read_buf(&mut input)).await {
+            input.reserve(READ_CHUNK_BYTES);
+            // The other side pings regularly; without a ping its transactions must not stay open.
+            match timeout(INBOUND_IDLE_TIMEOUT, reader.read_buf(&mut input)).await {
                 Ok(Ok(0) | Err(_)) | Err(_) => return,
                 Ok(Ok(_)) => {}
             }
@@ -343,56 +358,66 @@
                     }
                 };
                 match request {
-                    PeerRequest::Ping { number, known } => {
-                        teller.refresh(self.status());
-                        teller.publish(output, number, known, self.document_proof());
+                    PeerRequest::Ping { ping_id, known_version } => {
+                        publisher.refresh(self.status());
+                        publisher.publish(
+                            output,
+                            ping_id,
+                            known_version,
+                            self.document_validation(),
+                        );
                     }
-                    other => self.take_request(origin, output, other),
+                    other => self.handle_request(origin, output, other),
                 }
             }
         }
     }
 
-    /// Tells the status as soon as it changes in a way that others must know at once.
-    async fn announce_status(&self, output: &OutputQueue, teller: &StatusPublisher) {
+    /// Sends the status when it changes in a way that others must learn without a ping.
+    async fn push_status(&self, output: &OutputQueue, publisher: &StatusPublisher) {
         loop {
             self.status_changed.notified().await;
-            let known = teller.version.get();
-            if teller.refresh(self.status()) {
-                teller.publish(output, 0, known, None);
+            let previous_version = publisher.version.get();
+            if publisher.refresh(self.status()) {
+                publisher.publish(output, 0, previous_version, None);
             }
         }
     }
 
-    fn take_request(self: &Rc<Self>, origin: u64, output: &Rc<OutputQueue>, request: PeerRequest) {
+    fn handle_request(
+        self: &Rc<Self>,
+        origin: u64,
+        output: &Rc<OutputQueue>,
+        request: PeerRequest,
+    ) {
         let (node, output) = (self.clone(), output.clone());
         match request {
-            PeerRequest::Hello(record) => self.meet(record),
+            PeerRequest::Hello(record) => self.connect_peer(record),
             PeerRequest::Ping { .. } => {}
-            PeerRequest::Execute { call, body } => {
+            PeerRequest::Execute { call_id, body } => {
                 tokio::task::spawn_local(async move {
                     let body = Box::new(node.execute_locally(origin, *body).await);
-                    output.push(&PeerReply::Execute { call, body });
+                    output.push(&PeerReply::Execute { call_id, body });
                 });
             }
-            PeerRequest::Release { channel } => self.release_locally(origin, channel),
-            PeerRequest::Count { call, team, level, patience_ms } => {
-                let patience = Duration::from_millis(patience_ms.into());
-                let answer = self.admit_locally(&team, level, patience);
-                output.push(&PeerReply::Count { call, answer });
+            PeerRequest::Release { transaction_id } => self.release_locally(origin, transaction_id),
+            PeerRequest::Admit { call_id, team, priority, max_wait_ms } => {
+                let max_wait = Duration::from_millis(max_wait_ms.into());
+                let answer = self.admit_locally(&team, priority, max_wait);
+                output.push(&PeerReply::Admit { call_id, decision: answer });
             }
-            PeerRequest::Probe { call, endpoint } => {
+            PeerRequest::Probe { call_id, endpoint } => {
                 tokio::task::spawn_local(async move {
                     let reached = node.probe_member(&endpoint).await.is_some();
-                    output.push(&PeerReply::Probe { call, reached });
+                    output.push(&PeerReply::Probe { call_id, reached });
                 });
             }
-            PeerRequest::Rows { table, rows } => self.take_rows(table, rows),
-            PeerRequest::Table { call, table } => {
+            PeerRequest::Rows { table, rows } => self.merge_rows(table, rows),
+            PeerRequest::Table { call_id, table } => {
                 let mut tables = self.tables.borrow_mut();
-                let copy = tables.table(table);
-                let (rows, version) = (copy.rows(), copy.version());
-                output.push(&PeerReply::Table { call, rows, version });
+                let cache = tables.table(table);
+                let (rows, version) = (cache.rows(), cache.version());
+                output.push(&PeerReply::Table { call_id, rows, version });
             }
         }
     }
--- a/crates/engine/src/peer_link.rs
+++ b/crates/engine/src/peer_link.rs
@@ -13,10 +13,10 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::timeout;
 
-use crate::link::WatchedTable;
+use crate::interface::WatchedTable;
 use crate::message::{
-    CountAnswer, DocumentProof, ExecuteCall, ExecuteOutcome, ExecuteReply, HoldReason,
-    InstanceStatus, PeerReply, PeerRequest, encode, millis,
+    AdmissionDecision, DocumentValidation, ExecuteCall, ExecuteOutcome, ExecuteReply,
+    InstanceStatus, NotSentReason, PeerReply, PeerRequest, encode, millis,
 };
 use crate::record::InstanceRecord;
 use crate::tables::StoredRow;
@@ -91,19 +91,19 @@
         changed
     }
 
-    /// Sends the answer to ping `number`, or an unsolicited status if `number` is zero.
+    /// Sends the answer to ping `ping_id`, or an unsolicited status if `ping_id` is zero.
     ///
     /// The status is left out if the peer already has `known_version`.
     pub(crate) fn publish(
         &self,
         output: &OutputQueue,
-        number: u32,
+        ping_id: u32,
         known_version: u32,
-        validation: Option<DocumentProof>,
+        validation: Option<DocumentValidation>,
     ) {
         let version = self.version.get();
         let status = (known_version != version).then(|| Box::new(self.published.borrow().clone()));
-        output.push(&PeerReply::Pong { number, proof: validation, version, status });
+        output.push(&PeerReply::Pong { ping_id, validation, status_version: version, status });
     }
 }
 
@@ -114,7 +114,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PendingCalls {
     pub(crate) execute: ReplySenders<ExecuteReply>,
-    pub(crate) admission: ReplySenders<CountAnswer>,
+    pub(crate) admission: ReplySenders<AdmissionDecision>,
     pub(crate) probe: ReplySenders<bool>,
     pub(crate) table: ReplySenders<(Vec<StoredRow>, u64)>,
 }
@@ -188,16 +188,18 @@
         if self.output.borrow().is_none() {
             return no_owner_reply();
         }
-        let answer_timeout = Duration::from_millis(u64::from(body.answer_within_ms)) + PING_TIMEOUT;
-        let request = |call| PeerRequest::Execute { call, body: Box::new(body) };
+        let answer_timeout =
+            Duration::from_millis(u64::from(body.answer_timeout_ms)) + PING_TIMEOUT;
+        let request = |call_id| PeerRequest::Execute { call_id, body: Box::new(body) };
         let reply = self.send_call(|pending| &mut pending.execute, answer_timeout, request).await;
-        let lost = ExecuteReply { outcome: ExecuteOutcome::Lost, queue_ms: 0, mark: None };
+        let lost =
+            ExecuteReply { outcome: ExecuteOutcome::InDoubt, queue_wait_ms: 0, watermark: None };
         reply.unwrap_or(lost)
     }
 
     /// Rolls back a transaction whose connection the peer owns.
     pub fn release(&self, transaction_id: u32) {
-        self.send(&PeerRequest::Release { channel: transaction_id });
+        self.send(&PeerRequest::Release { transaction_id });
     }
 
     /// Asks the peer, as quota owner of a team, whether an operation may start.
@@ -209,9 +211,9 @@
         priority: PriorityLevel,
         max_wait: Duration,
         answer_timeout: Duration,
-    ) -> Option<CountAnswer> {
-        let (team, patience_ms) = (team.to_owned(), millis(max_wait));
-        let request = |call| PeerRequest::Count { call, team, level: priority, patience_ms };
+    ) -> Option<AdmissionDecision> {
+        let (team, max_wait_ms) = (team.to_owned(), millis(max_wait));
+        let request = |call_id| PeerRequest::Admit { call_id, team, priority, max_wait_ms };
         self.send_call(|pending| &mut pending.admission, answer_timeout, request).await
     }
 
@@ -219,7 +221,7 @@
     ///
     /// Returns `None` without an answer within `answer_timeout`.
     pub async fn probe(&self, endpoint: &str, answer_timeout: Duration) -> Option<bool> {
-        let request = |call| PeerRequest::Probe { call, endpoint: endpoint.to_owned() };
+        let request = |call_id| PeerRequest::Probe { call_id, endpoint: endpoint.to_owned() };
         self.send_call(|pending| &mut pending.probe, answer_timeout, request).await
     }
 
@@ -231,7 +233,7 @@
         table: WatchedTable,
         answer_timeout: Duration,
     ) -> Option<(Vec<StoredRow>, u64)> {
-        let request = |call| PeerRequest::Table { call, table };
+        let request = |call_id| PeerRequest::Table { call_id, table };
         self.send_call(|pending| &mut pending.table, answer_timeout, request).await
     }
 
@@ -262,23 +264,23 @@
     pub(crate) fn handle_reply(&self, reply: PeerReply) {
         let mut pending = self.pending.borrow_mut();
         match reply {
-            PeerReply::Pong { version, status, .. } => {
+            PeerReply::Pong { status_version: version, status, .. } => {
                 if let Some(status) = status {
                     self.status_version.set(version);
                     *self.status.borrow_mut() = *status;
                 }
             }
-            PeerReply::Execute { call, body } => {
-                deliver(&mut pending.execute, call, *body);
+            PeerReply::Execute { call_id, body } => {
+                deliver(&mut pending.execute, call_id, *body);
             }
-            PeerReply::Count { call, answer: decision } => {
-                deliver(&mut pending.admission, call, decision);
+            PeerReply::Admit { call_id, decision } => {
+                deliver(&mut pending.admission, call_id, decision);
             }
-            PeerReply::Probe { call, reached } => {
-                deliver(&mut pending.probe, call, reached);
+            PeerReply::Probe { call_id, reached } => {
+                deliver(&mut pending.probe, call_id, reached);
             }
-            PeerReply::Table { call, rows, version } => {
-                deliver(&mut pending.table, call, (rows, version));
+            PeerReply::Table { call_id, rows, version } => {
+                deliver(&mut pending.table, call_id, (rows, version));
             }
         }
     }
@@ -293,8 +295,8 @@
 }
 
 fn no_owner_reply() -> ExecuteReply {
-    let outcome = ExecuteOutcome::NotSent { reason: HoldReason::NoHolder, retry_ms: 0 };
-    ExecuteReply { outcome, queue_ms: 0, mark: None }
+    let outcome = ExecuteOutcome::NotSent { reason: NotSentReason::NoOwner, retry_ms: 0 };
+    ExecuteReply { outcome, queue_wait_ms: 0, watermark: None }
 }
 
 /// Closes the output of a link and fails its calls in flight.
--- /dev/null
+++ b/crates/engine/src/statement.rs
@@ -0,0 +1,464 @@
+//! Execution of one statement of a caller: choice of the endpoint, retries and the outcome.
+//!
+//! A statement is retried only if it certainly did not run. The exceptions are single reads and the
+//! first statement of a transaction, which change nothing before a commit is sent.
+
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use coord::session::{ForwardPlan, SessionMachine};
+use coord::watermark::WatermarkRing;
+use metrics::counter;
+use state::position::LogPosition;
+use telemetry::event::LogEvent;
+use telemetry::{log_event, meter};
+use tokio::time::sleep;
+
+use crate::instance::{EngineTypes, GatewayInstance};
+use crate::interface::{ControlStatement, RefusalCode, WireCodec};
+use crate::message::{ExecuteCall, ExecuteOutcome, NotSentReason, StatementAnswer, millis};
+use crate::record::{RouteConsistency, RouteRecord};
+
+/// Maximum attempts of one statement, over all endpoints.
+const MAX_ATTEMPTS: usize = 24;
+/// Delay before a retry while the service has no leader.
+const NO_LEADER_BACKOFF: Duration = Duration::from_millis(25);
+/// Delay before a retry after an endpoint had no capacity.
+const BUSY_BACKOFF: Duration = Duration::from_millis(8);
+/// Fraction of the target latency within which a statement must start.
+const START_TIMEOUT_FRACTION: f64 = 0.75;
+/// Fraction of the target latency that an operation may wait for the rate limit of its team.
+const ADMISSION_TIMEOUT_FRACTION: f64 = 0.4;
+/// Minimum retry delay reported to a caller.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(25);
+
+/// Open transaction that is pinned to a connection.
+#[derive(Clone, Debug)]
+pub struct PinnedTransaction {
+    /// Instance that owns the connection.
+    pub owner: String,
+    /// Endpoint that runs the transaction.
+    pub endpoint: String,
+    /// Number of the transaction on the instance of its session.
+    pub transaction_id: u32,
+}
+
+/// Statement with the context of its session.
+pub struct StatementContext<'a> {
+    /// Forwarding plan of the statement.
+    pub plan: &'a ForwardPlan,
+    /// Route of the session.
+    pub route: &'a RouteRecord,
+    /// Team of the caller.
+    pub team: &'a str,
+    /// Identifier of the request.
+    pub request_id: &'a str,
+    /// Text as sent by the caller.
+    pub text: &'a str,
+    /// State machine of the session.
+    pub session_state: &'a SessionMachine,
+    /// Number of the session, unique over all instances.
+    pub session_id: u64,
+    /// Session settings that the pinned connection of the transaction does not have yet.
+    pub pending_setup: Vec<String>,
+    /// Time at which the statement arrived; its transaction may have begun long before.
+    pub arrived_at: Instant,
+}
+
+/// Outcome of a statement.
+pub enum StatementResult {
+    /// A member ran the statement.
+    Success {
+        /// Lines for the caller.
+        content: Vec<u8>,
+        /// Log position of the member after the statement.
+        position: Option<LogPosition>,
+        /// Transaction that the statement opened, if it stays open.
+        transaction: Option<PinnedTransaction>,
+    },
+    /// The statement failed.
+    Failure {
+        /// Lines of the member's answer; empty if no member answered.
+        content: Vec<u8>,
+        /// Error code.
+        code: RefusalCode,
+        /// Explanation for the caller.
+        explanation: String,
+    },
+}
+
+/// Statements that are sent to an endpoint for one statement of a caller.
+#[derive(Default)]
+struct StatementBatch {
+    /// Statement that opens a transaction and must succeed before the rest is sent.
+    begin_bytes: Vec<u8>,
+    bytes: Vec<u8>,
+    /// Number of statements in `bytes`.
+    count: u8,
+    /// Index of the answer that is returned to the caller.
+    answer: u8,
+    confirming_answer: Option<u8>,
+    keep_pinned: bool,
+    retryable: bool,
+}
+
+/// Outcome of one attempt.
+enum AttemptOutcome {
+    Done(StatementResult),
+    /// The statement did not run and may be retried after a delay, at any endpoint.
+    Retry {
+        code: RefusalCode,
+        cause: &'static str,
+        backoff: Duration,
+    },
+    /// The statement was sent and not answered.
+    InDoubt,
+}
+
+impl<E: EngineTypes> GatewayInstance<E> {
+    /// Runs a statement and returns its result.
+    pub async fn run_statement(
+        self: &Rc<Self>,
+        context: &StatementContext<'_>,
+        pinned: Option<&PinnedTransaction>,
+    ) -> StatementResult {
+        if context.plan.pinned {
+            return self.run_pinned(context, pinned).await;
+        }
+        let max_wait = context.route.target_latency.mul_f64(ADMISSION_TIMEOUT_FRACTION);
+        if let Err(wait) = self.admit(context.team, context.route.priority, max_wait).await {
+            return not_run("over the limit of the team", wait);
+        }
+        // Deadlines count from the statement, not from the begin of its transaction: the caller may
+        // have been idle in between.
+        let arrived_at = context.arrived_at;
+        let latest_start =
+            arrived_at + context.route.target_latency.mul_f64(START_TIMEOUT_FRACTION);
+        let deadline = arrived_at + context.route.statement_timeout;
+        let mut failed: Vec<String> = Vec::new();
+        let mut last_failure = (RefusalCode::Busy, "no endpoint is available", MIN_RETRY_DELAY);
+        for attempt in 0..MAX_ATTEMPTS {
+            let now = self.now();
+            if attempt > 0 && now >= latest_start {
+                break;
+            }
+            let Some((endpoint, leads, required)) = self.choose_endpoint(context, &failed, now)
+            else {
+                if failed.is_empty() {
+                    sleep(NO_LEADER_BACKOFF).await;
+                }
+                failed.clear();
+                continue;
+            };
+            match self
+                .execute_attempt(context, &endpoint, leads, required, latest_start, deadline)
+                .await
+            {
+                AttemptOutcome::Done(result) => return result,
+                AttemptOutcome::InDoubt if context.plan.changes_data() => {
+                    let explanation = "the answer of the member is lost".to_owned();
+                    return failure(RefusalCode::Unknown, explanation);
+                }
+                AttemptOutcome::InDoubt => {
+                    last_failure =
+                        (RefusalCode::Aborted, "the answer of the member is lost", MIN_RETRY_DELAY);
+                    self.log_retry(context, &endpoint, "answer_lost", attempt);
+                    failed.push(endpoint);
+                }
+                AttemptOutcome::Retry { code, cause, backoff } => {
+                    last_failure = (code, cause, backoff);
+                    self.log_retry(context, &endpoint, cause, attempt);
+                    let no_leader = code == RefusalCode::ReadOnly;
+                    failed.push(endpoint);
+                    let backoff =
+                        if no_leader && failed.len() >= 2 { NO_LEADER_BACKOFF } else { backoff };
+                    if failed.len() >= 2 || !context.plan.read_only {
+                        sleep(backoff.min(latest_start.saturating_duration_since(self.now())))
+                            .await;
+                    }
+                }
+            }
+        }
+        let (code, cause, backoff) = last_failure;
+        match code {
+            RefusalCode::Aborted | RefusalCode::Failed | RefusalCode::Timeout => {
+                failure(code, cause.to_owned())
+            }
+            _ => not_run(cause, backoff),
+        }
+    }
+
+    /// Runs a statement on the connection of the open transaction.
+    async fn run_pinned(
+        self: &Rc<Self>,
+        context: &StatementContext<'_>,
+        pinned: Option<&PinnedTransaction>,
+    ) -> StatementResult {
+        let Some(transaction) = pinned else {
+            return failure(RefusalCode::Aborted, "the transaction is no longer open".to_owned());
+        };
+        let mut bytes = Vec::new();
+        E::Codec::encode_statement(&mut bytes, context.request_id, None, context.text);
+        let commits = context.plan.commits;
+        let batch =
+            StatementBatch { bytes, count: 1, keep_pinned: !commits, ..StatementBatch::default() };
+        let mut call =
+            self.build_call(context, &transaction.endpoint, batch, transaction.transaction_id);
+        call.pinned = true;
+        call.setup_bytes.clear();
+        for text in &context.pending_setup {
+            E::Codec::encode_control(&mut call.setup_bytes, ControlStatement::Setup(text));
+        }
+        call.setup_count = u8::try_from(context.pending_setup.len()).unwrap_or(u8::MAX);
+        call.answer_timeout_ms = millis(context.route.statement_timeout);
+        let reply = self.dispatch_to(&transaction.owner, call).await;
+        match reply.outcome {
+            ExecuteOutcome::Answered(answers) => build_result(answers, 0, None),
+            ExecuteOutcome::InDoubt if commits => {
+                failure(RefusalCode::Unknown, "the answer to the commit is lost".to_owned())
+            }
+            ExecuteOutcome::InDoubt | ExecuteOutcome::NotSent { .. } => failure(
+                RefusalCode::Aborted,
+                "the connection of the transaction is lost".to_owned(),
+            ),
+        }
+    }
+
+    /// Chooses the endpoint of the next attempt.
+    ///
+    /// Returns its name, whether it is addressed as the leader, and the position that a replica
+    /// must have reached.
+    fn choose_endpoint(
+        &self,
+        context: &StatementContext<'_>,
+        failed: &[String],
+        now: Instant,
+    ) -> Option<(String, bool, Option<LogPosition>)> {
+        let directory = self.directory.borrow();
+        let service = &context.route.service;
+        let untried = |name: &String| !failed.contains(name);
+        if !context.plan.read_only {
+            let order = directory.write_candidates(service, now);
+            return order.into_iter().find(untried).map(|endpoint| (endpoint, true, None));
+        }
+        let required = context.route.consistency.max_staleness().and_then(|max_staleness| {
+            let watermarks = directory.watermarks(service)?;
+            let watermark = watermarks.oldest_within(context.plan.began_at, max_staleness)?;
+            let own = match context.route.consistency {
+                RouteConsistency::ReadYourWrites { .. } => context.session_state.last_commit(),
+                _ => None,
+            };
+            Some(WatermarkRing::required_position(watermark, own))
+        });
+        let zone = &self.settings.record.zone;
+        let order = directory.read_candidates(service, zone, required, now);
+        let replica = order.into_iter().find(|(name, _)| untried(name));
+        match replica {
+            Some((endpoint, leads)) => Some((endpoint, leads, required)),
+            // The leader may be a member other than the one known to this instance.
+            None => {
+                let order = directory.write_candidates(service, now);
+                order.into_iter().find(untried).map(|endpoint| (endpoint, true, None))
+            }
+        }
+    }
+
+    async fn execute_attempt(
+        self: &Rc<Self>,
+        context: &StatementContext<'_>,
+        endpoint: &str,
+        leads: bool,
+        required: Option<LogPosition>,
+        latest_start: Instant,
+        deadline: Instant,
+    ) -> AttemptOutcome {
+        let batch = build_batch::<E::Codec>(context, leads, required);
+        let (answer, confirming_answer, keep_pinned) =
+            (batch.answer, batch.confirming_answer, batch.keep_pinned);
+        let transaction_id = if keep_pinned { self.new_transaction_id() } else { 0 };
+        let call = self.build_call(context, endpoint, batch, transaction_id);
+        let sent_at = self.now();
+        let routed = self.dispatch(call, latest_start, deadline).await;
+        match routed.reply.outcome {
+            ExecuteOutcome::Answered(answers) => {
+                if let Some(confirmation) =
+                    confirming_answer.and_then(|index| answers.get(usize::from(index)))
+                {
+                    self.observe_leadership(endpoint, confirmation, sent_at);
+                }
+                let transaction = PinnedTransaction {
+                    owner: routed.owner,
+                    endpoint: endpoint.to_owned(),
+                    transaction_id,
+                };
+                classify_answers(context, answers, answer, keep_pinned.then_some(transaction))
+            }
+            ExecuteOutcome::NotSent { reason, retry_ms } => AttemptOutcome::Retry {
+                code: RefusalCode::Busy,
+                cause: reason.label(),
+                backoff: match reason {
+                    NotSentReason::QueueDelay | NotSentReason::NoConnection => {
+                        Duration::from_millis(retry_ms.into()).max(BUSY_BACKOFF)
+                    }
+                    _ => NO_LEADER_BACKOFF,
+                },
+            },
+            ExecuteOutcome::InDoubt => AttemptOutcome::InDoubt,
+        }
+    }
+
+    fn build_call(
+        &self,
+        context: &StatementContext<'_>,
+        endpoint: &str,
+        batch: StatementBatch,
+        transaction_id: u32,
+    ) -> ExecuteCall {
+        let version = context.session_state.setup_version();
+        let mut setup_bytes = Vec::new();
+        let mut setup_count = 1;
+        E::Codec::encode_control(&mut setup_bytes, ControlStatement::Reset);
+        for text in context.session_state.setup_statements() {
+            E::Codec::encode_control(&mut setup_bytes, ControlStatement::Setup(text));
+            setup_count += 1;
+        }
+        let setup_id = match version {
+            0 => 0,
+            _ => context.session_id.rotate_left(20) ^ u64::from(version),
+        };
+        ExecuteCall {
+            endpoint: endpoint.to_owned(),
+            team: context.team.to_owned(),
+            transaction_id,
+            pinned: false,
+            keep_pinned: batch.keep_pinned,
+            priority: context.route.priority,
+            start_timeout_ms: 0,
+            answer_timeout_ms: 0,
+            setup_id,
+            setup_bytes,
+            setup_count,
+            begin_bytes: batch.begin_bytes,
+            bytes: batch.bytes,
+            count: batch.count,
+            confirming_answer: batch.confirming_answer,
+            retryable: batch.retryable,
+        }
+    }
+
+    fn log_retry(
+        &self,
+        context: &StatementContext<'_>,
+        endpoint: &str,
+        cause: &'static str,
+        attempt: usize,
+    ) {
+        counter!(meter::RETRIES, "reason" => cause).increment(1);
+        let waited = self.now().saturating_duration_since(context.arrived_at);
+        log_event!(
+            LogEvent::RequestRetried,
+            "request={} team={} service={} endpoint={endpoint} cause={cause} attempt={attempt} \
+             waited_ms={} timeout_ms={}",
+            context.request_id,
+            context.team,
+            context.route.service,
+            waited.as_millis(),
+            context.route.statement_timeout.as_millis()
+        );
+    }
+}
+
+/// Builds the statements for a leader, or for a replica that must have reached `required`.
+fn build_batch<C: WireCodec>(
+    context: &StatementContext<'_>,
+    leads: bool,
+    required: Option<LogPosition>,
+) -> StatementBatch {
+    let plan = context.plan;
+    let mut batch = StatementBatch { count: 1, ..StatementBatch::default() };
+    let statement = |bytes: &mut Vec<u8>, after| {
+        C::encode_statement(bytes, context.request_id, after, context.text);
+    };
+    if plan.opens_transaction {
+        // Only a leader accepts a read-write transaction, so its success confirms the leader for
+        // the whole transaction.
+        let begin = if leads { ControlStatement::Begin } else { ControlStatement::BeginRead };
+        C::encode_control(&mut batch.begin_bytes, begin);
+        statement(&mut batch.bytes, if leads || plan.commits { None } else { required });
+        batch.answer = 1;
+        batch.confirming_answer = leads.then_some(0);
+        (batch.keep_pinned, batch.retryable) = (!plan.commits, !plan.commits);
+    } else if plan.writes {
+        statement(&mut batch.bytes, None);
+        batch.confirming_answer = Some(0);
+    } else if leads {
+        C::encode_control(&mut batch.begin_bytes, ControlStatement::Begin);
+        statement(&mut batch.bytes, None);
+        C::encode_control(&mut batch.bytes, ControlStatement::Rollback);
+        (batch.count, batch.answer, batch.confirming_answer) = (2, 1, Some(0));
+        batch.retryable = true;
+    } else {
+        statement(&mut batch.bytes, required);
+        batch.retryable = true;
+    }
+    batch
+}
+
+/// Classifies the answers to the first statement of an operation as final or worth a retry.
+fn classify_answers(
+    context: &StatementContext<'_>,
+    answers: Vec<StatementAnswer>,
+    answer: u8,
+    transaction: Option<PinnedTransaction>,
+) -> AttemptOutcome {
+    let error = answers.iter().take(usize::from(answer) + 1).find_map(|answer| answer.error);
+    let Some(code) = error else {
+        return AttemptOutcome::Done(build_result(answers, answer, transaction));
+    };
+    let retry = |cause| AttemptOutcome::Retry { code, cause, backoff: BUSY_BACKOFF };
+    match code {
+        RefusalCode::Busy => retry("member_busy"),
+        RefusalCode::Lagging => retry("member_lags"),
+        RefusalCode::ReadOnly => retry("member_follows"),
+        RefusalCode::UnknownName => retry("member_lacks_name"),
+        RefusalCode::WrongMember => retry("member_wrong"),
+        RefusalCode::TooManyConnections => retry("member_connections"),
+        RefusalCode::Aborted if !context.plan.changes_data() => retry("member_aborted"),
+        RefusalCode::Failed | RefusalCode::Timeout if context.plan.read_only => {
+            retry("member_failed")
+        }
+        _ => AttemptOutcome::Done(build_result(answers, answer, transaction)),
+    }
+}
+
+/// Builds the result for the caller from the answers of a member.
+fn build_result(
+    mut answers: Vec<StatementAnswer>,
+    answer: u8,
+    transaction: Option<PinnedTransaction>,
+) -> StatementResult {
+    let first_error = answers.iter().take(usize::from(answer)).find_map(|answer| answer.error);
+    let index = usize::from(answer).min(answers.len().saturating_sub(1));
+    let answer = answers.swap_remove(index);
+    match (first_error, answer.error) {
+        (None, None) => StatementResult::Success {
+            content: answer.content,
+            position: answer.position,
+            transaction,
+        },
+        (Some(code), _) => failure(code, "the transaction could not be opened".to_owned()),
+        (None, Some(code)) => {
+            StatementResult::Failure { content: answer.content, code, explanation: String::new() }
+        }
+    }
+}
+
+fn failure(code: RefusalCode, explanation: String) -> StatementResult {
+    StatementResult::Failure { content: Vec::new(), code, explanation }
+}
+
+/// Returns the failure of a statement that certainly did not run, with a retry delay.
+fn not_run(cause: &str, retry_after: Duration) -> StatementResult {
+    let retry_after_ms = retry_after.max(MIN_RETRY_DELAY).as_millis();
+    failure(RefusalCode::Busy, format!("not run: {cause}; retry after {retry_after_ms} ms"))
+}
--- a/crates/engine/src/tables.rs
+++ b/crates/engine/src/tables.rs
@@ -1,55 +1,56 @@
-//! Copies of the platform's tables, which instances pass on to each other.
+//! Caches of the platform's tables, which instances replicate among each other.
 //!
-//! One instance in an availability zone reads the store and pushes what changes to the others;
-//! every call to the store is paid for, and a feed for each instance is most of them.
+//! Calls to the store cost money, and change feeds make up most of them. One instance of each
+//! availability zone therefore reads the feed and pushes the changes to the others of its zone.
 
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::link::WatchedTable;
+use crate::interface::WatchedTable;
 
-/// Row as the store holds it.
+/// Row of the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredRow {
     /// Key.
     pub key: String,
-    /// Version of its last change.
+    /// Version of the last change to the row.
     pub version: u64,
-    /// Content; none if it was removed.
+    /// Content; `None` marks a removed row.
     pub value: Option<Vec<u8>>,
 }
 
-/// Copy of one table.
+/// Cache of one table. Removed rows stay in it, so that an older version cannot restore them.
 #[derive(Debug, Default)]
-pub struct TableCopy {
+pub struct TableCache {
     rows: HashMap<String, StoredRow>,
     version: u64,
 }
 
-impl TableCopy {
-    /// Returns the version of the last change.
+impl TableCache {
+    /// Returns the version up to which the cache has received changes.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes changed rows and returns those that are news.
-    pub fn take_changes(&mut self, rows: Vec<StoredRow>) -> Vec<StoredRow> {
-        let mut news = Vec::new();
+    /// Merges changed rows and returns those that were newer than the cached ones.
+    pub fn merge_changes(&mut self, rows: Vec<StoredRow>) -> Vec<StoredRow> {
+        let mut changed = Vec::new();
         for row in rows {
             self.version = self.version.max(row.version);
             if self.rows.get(&row.key).is_some_and(|known| known.version >= row.version) {
                 continue;
             }
             self.rows.insert(row.key.clone(), row.clone());
-            news.push(row);
+            changed.push(row);
         }
-        news
+        changed
     }
 
-    /// Takes all rows as of `version` and returns those that are news; rows that are missing were
-    /// removed.
-    pub fn take_all(&mut self, rows: Vec<StoredRow>, version: u64) -> Vec<StoredRow> {
+    /// Merges all rows of the table as of `version` and returns those that changed.
+    ///
+    /// Cached rows that are missing from `rows` are treated as removed.
+    pub fn merge_snapshot(&mut self, rows: Vec<StoredRow>, version: u64) -> Vec<StoredRow> {
         let is_missing = |known: &&StoredRow| {
             known.version <= version
                 && known.value.is_some()
@@ -61,39 +62,39 @@
             .filter(is_missing)
             .map(|known| StoredRow { version: known.version + 1, value: None, ..known.clone() })
             .collect();
-        let mut news = self.take_changes(removed);
-        news.extend(self.take_changes(rows));
-        news
+        let mut changed = self.merge_changes(removed);
+        changed.extend(self.merge_changes(rows));
+        changed
     }
 
-    /// Returns all rows, removed ones included.
+    /// Returns all rows, including removed ones.
     pub fn rows(&self) -> Vec<StoredRow> {
         self.rows.values().cloned().collect()
     }
 
-    /// Raises the version after a copy from another instance was taken in full.
-    pub fn note_version(&mut self, version: u64) {
+    /// Raises the version to that of another instance's cache that is merged in full.
+    pub fn raise_version(&mut self, version: u64) {
         self.version = self.version.max(version);
     }
 }
 
-/// Copies of all tables.
+/// Caches of all watched tables.
 #[derive(Debug, Default)]
-pub struct TableCopies {
-    document: TableCopy,
-    endpoints: TableCopy,
+pub struct TableCaches {
+    document: TableCache,
+    endpoints: TableCache,
 }
 
-impl TableCopies {
-    /// Returns the copy of a table.
-    pub fn table(&mut self, table: WatchedTable) -> &mut TableCopy {
+impl TableCaches {
+    /// Returns the cache of a table.
+    pub fn table(&mut self, table: WatchedTable) -> &mut TableCache {
         match table {
             WatchedTable::Document => &mut self.document,
             WatchedTable::Endpoints => &mut self.endpoints,
         }
     }
 
-    /// Returns the versions of the copies, in the order of [`WatchedTable::ALL`].
+    /// Returns the versions of the caches, in the order of [`WatchedTable::ALL`].
     pub fn versions(&self) -> [u64; 2] {
         [self.document.version, self.endpoints.version]
     }
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's tables, in the store or through another instance, and registers there.
+//! Replicates the platform's tables from the store or other instances, and registers this instance.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -7,119 +7,123 @@
 use tokio::time::sleep;
 
 use crate::instance::{EngineTypes, GatewayInstance};
-use crate::link::{LinkError, PlatformLink, WatchedTable};
+use crate::interface::{PlatformApi, PlatformError, WatchedTable};
 use crate::message::PeerRequest;
 use crate::tables::StoredRow;
 
-/// Part of the time within which a change must be in force for which the store is asked to wait.
+/// Wait of a long poll, as a fraction of the time within which a change must be in force.
 ///
-/// It bounds how long a reader that is cut off goes unnoticed while others rely on it, and costs a
-/// call each time: 8 s left all instances without three documents for 6 s.
-const WAIT_PART: f64 = 0.4;
-/// Part of the time within which a withdrawn key must stop everywhere for which the store is asked
-/// to wait: the next answer must come well before the proof of this one is too old.
-const PROOF_PART: f64 = 0.25;
-/// Age of a proof, as a multiple of the wait, beyond which the store is asked without a wait.
-const OLD_PROOF: f64 = 1.5;
-/// Time beyond the wait in which the store must answer; it may be slow.
-const ANSWER_RESERVE: Duration = Duration::from_millis(600);
-/// Pause after a call that failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Time between looks at whether another instance reads the store for this one.
-const DELEGATE_PERIOD: Duration = Duration::from_millis(200);
-/// Time between comparisons with the copies of other instances.
-const HEALING_PERIOD: Duration = Duration::from_millis(300);
-/// Time in which a peer must hand over a table.
+/// The wait bounds how long a partitioned reader goes unnoticed while other instances rely on it;
+/// a shorter one costs more calls. With 8 s, all instances missed three documents for 6 s.
+const LONG_POLL_FRACTION: f64 = 0.4;
+/// Maximum wait of a long poll of the document, as a fraction of the revocation bound: the next
+/// answer must arrive well before the validation by the previous one expires.
+const VALIDATION_POLL_FRACTION: f64 = 0.25;
+/// Age of the validation, as a multiple of the long-poll wait, above which the store is polled
+/// without a wait.
+const STALE_VALIDATION_FACTOR: f64 = 1.5;
+/// Time beyond the long-poll wait that a slow store has to answer.
+const ANSWER_MARGIN: Duration = Duration::from_millis(600);
+/// Delay before a failed call to the store is retried.
+const RETRY_BACKOFF: Duration = Duration::from_millis(300);
+/// Interval at which an instance checks whether another one still reads the store for its zone.
+const DELEGATION_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between comparisons with the table caches of other instances.
+const ANTI_ENTROPY_INTERVAL: Duration = Duration::from_millis(300);
+/// Timeout of a table request to another instance.
 const TABLE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time between readings of the registered instances.
-const INSTANCES_PERIOD: Duration = Duration::from_secs(12);
-/// Time after the start in which others that start at the same time register.
-const START_TIME: Duration = Duration::from_millis(600);
-/// Subject by which instances of an availability zone order themselves for reading the store.
-const READER_SUBJECT: &str = "reader";
+/// Interval between reads of the registered instances.
+const DISCOVERY_INTERVAL: Duration = Duration::from_secs(12);
+/// Delay before the second read of the registered instances: instances that start at the same time
+/// have registered by then.
+const FIRST_DISCOVERY_DELAY: Duration = Duration::from_millis(600);
+/// Rendezvous hash key that elects the instance of an availability zone that reads the store.
+const READER_ELECTION_KEY: &str = "reader";
 
 impl<E: EngineTypes> GatewayInstance<E> {
-    /// Follows a table for good.
+    /// Keeps the cache of a table up to date; never returns.
     pub async fn watch_table(self: Rc<Self>, table: WatchedTable) {
         loop {
-            let asked_at = self.now();
+            let sent_at = self.now();
             let version = match self.platform.read_table(table).await {
                 Ok(read) => {
                     self.record_store_status(true, "");
-                    self.take_table(table, read.rows, read.version);
-                    self.note_current(table, asked_at);
+                    self.merge_snapshot(table, read.rows, read.version);
+                    self.record_up_to_date(table, sent_at);
                     read.version
                 }
                 Err(error) => {
                     self.record_store_status(false, &error.to_string());
-                    sleep(RETRY_PAUSE).await;
+                    sleep(RETRY_BACKOFF).await;
                     continue;
                 }
             };
-            self.follow_from(table, version).await;
+            self.poll_from(table, version).await;
         }
     }
 
-    /// Follows a table until its history is gone.
-    async fn follow_from(&self, table: WatchedTable, mut version: u64) {
+    /// Polls changes of a table until the store no longer has the history after `version`.
+    async fn poll_from(&self, table: WatchedTable, mut version: u64) {
         let bound = match table {
             WatchedTable::Document => self.settings.document_bound,
             WatchedTable::Endpoints => self.settings.drain_timeout,
         };
-        let mut wait = bound.mul_f64(WAIT_PART);
+        let mut wait = bound.mul_f64(LONG_POLL_FRACTION);
         if let (WatchedTable::Document, Some(bound)) = (table, self.settings.revocation_bound) {
-            wait = wait.min(bound.mul_f64(PROOF_PART));
+            wait = wait.min(bound.mul_f64(VALIDATION_POLL_FRACTION));
         }
         loop {
-            while self.is_read_for() {
-                sleep(DELEGATE_PERIOD).await;
+            while self.has_zone_reader() {
+                sleep(DELEGATION_CHECK_INTERVAL).await;
             }
-            let asked_at = self.now();
-            // Whoever takes over from a reader that was cut off needs a proof at once.
+            let sent_at = self.now();
+            // A successor to a partitioned reader needs a fresh validation at once.
             let wait = match table {
-                WatchedTable::Document if self.validation_is_older(wait.mul_f64(OLD_PROOF)) => {
+                WatchedTable::Document
+                    if self.validation_is_older(wait.mul_f64(STALE_VALIDATION_FACTOR)) =>
+                {
                     Duration::ZERO
                 }
                 WatchedTable::Document | WatchedTable::Endpoints => wait,
             };
-            match self.platform.follow_table(table, version, wait, wait + ANSWER_RESERVE).await {
+            match self.platform.poll_changes(table, version, wait, wait + ANSWER_MARGIN).await {
                 Ok(read) => {
                     self.record_store_status(true, "");
                     version = read.version.max(version);
-                    self.pass_on(table, &read.rows);
-                    self.take_rows(table, read.rows);
-                    self.note_current(table, asked_at);
+                    self.push_rows(table, &read.rows);
+                    self.merge_rows(table, read.rows);
+                    self.record_up_to_date(table, sent_at);
                 }
-                Err(LinkError::HistoryGone) => return,
+                Err(PlatformError::HistoryExpired) => return,
                 Err(error) => {
                     self.record_store_status(false, &error.to_string());
-                    sleep(RETRY_PAUSE).await;
+                    sleep(RETRY_BACKOFF).await;
                 }
             }
         }
     }
 
-    /// Records that the store had nothing newer than the copy of a table when it was asked.
-    fn note_current(&self, table: WatchedTable, asked_at: Instant) {
+    /// Records that the cache of a table included all changes in the store at `sent_at`.
+    fn record_up_to_date(&self, table: WatchedTable, sent_at: Instant) {
         match table {
-            WatchedTable::Document => self.record_document_validation(asked_at),
+            WatchedTable::Document => self.record_document_validation(sent_at),
             WatchedTable::Endpoints => {}
         }
     }
 
-    /// Tells whether another instance of this availability zone reads the store for this one.
-    fn is_read_for(&self) -> bool {
+    /// Returns whether another instance of this availability zone reads the store on its behalf.
+    fn has_zone_reader(&self) -> bool {
         let zone = &self.settings.record.zone;
-        let reads = self.peers.live().into_iter().filter(|peer| {
+        let readers = self.peers.live().into_iter().filter(|peer| {
             let status = peer.status();
-            peer.record.zone == *zone && status.store_reached && !status.leaving
+            peer.record.zone == *zone && status.store_reachable && !status.leaving
         });
-        let names: Vec<String> = reads.map(|peer| peer.record.name.clone()).collect();
-        rendezvous::rank(READER_SUBJECT, self.name(), names.iter().map(String::as_str)) > 0
+        let names: Vec<String> = readers.map(|peer| peer.record.name.clone()).collect();
+        rendezvous::rank(READER_ELECTION_KEY, self.name(), names.iter().map(String::as_str)) > 0
     }
 
-    /// Pushes changes to the instances of this availability zone.
-    fn pass_on(&self, table: WatchedTable, rows: &[StoredRow]) {
+    /// Pushes changed rows to the other instances of this availability zone.
+    fn push_rows(&self, table: WatchedTable, rows: &[StoredRow]) {
         if rows.is_empty() {
             return;
         }
@@ -129,22 +133,22 @@
         }
     }
 
-    /// Takes changed rows.
-    pub(crate) fn take_rows(&self, table: WatchedTable, rows: Vec<StoredRow>) {
-        let news = self.tables.borrow_mut().table(table).take_changes(rows);
-        self.apply_rows(table, news);
+    /// Merges changed rows into the cache of a table and applies what is new.
+    pub(crate) fn merge_rows(&self, table: WatchedTable, rows: Vec<StoredRow>) {
+        let changed = self.tables.borrow_mut().table(table).merge_changes(rows);
+        self.apply_changed_rows(table, changed);
     }
 
-    /// Takes all rows of a table; what is not among them is gone.
-    fn take_table(&self, table: WatchedTable, rows: Vec<StoredRow>, version: u64) {
-        let news = self.tables.borrow_mut().table(table).take_all(rows, version);
+    /// Merges a full read of a table; cached rows missing from it are removed.
+    fn merge_snapshot(&self, table: WatchedTable, rows: Vec<StoredRow>, version: u64) {
+        let changed = self.tables.borrow_mut().table(table).merge_snapshot(rows, version);
         if table == WatchedTable::Endpoints {
-            self.directory.borrow_mut().note_endpoints_read();
+            self.directory.borrow_mut().set_endpoints_loaded();
         }
-        self.apply_rows(table, news);
+        self.apply_changed_rows(table, changed);
     }
 
-    fn apply_rows(&self, table: WatchedTable, rows: Vec<StoredRow>) {
+    fn apply_changed_rows(&self, table: WatchedTable, rows: Vec<StoredRow>) {
         for row in rows {
             if let Some(change) = self.platform.decode_row(table, &row) {
                 self.apply_row_change(change);
@@ -152,55 +156,57 @@
         }
     }
 
-    /// Registers this instance and looks for the others.
-    pub async fn keep_registered(self: Rc<Self>) {
-        while let Err(error) = self.platform.write_instance(&self.settings.record).await {
+    /// Registers this instance and discovers the others.
+    pub async fn register_and_discover(self: Rc<Self>) {
+        while let Err(error) = self.platform.register_instance(&self.settings.record).await {
             self.record_store_status(false, &error.to_string());
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_BACKOFF).await;
         }
-        let mut pause = START_TIME;
+        let mut delay = FIRST_DISCOVERY_DELAY;
         loop {
             match self.platform.read_instances().await {
-                Ok(records) => records.into_iter().for_each(|record| self.meet(record)),
+                Ok(records) => records.into_iter().for_each(|record| self.connect_peer(record)),
                 Err(error) => {
                     self.record_store_status(false, &error.to_string());
-                    sleep(RETRY_PAUSE).await;
+                    sleep(RETRY_BACKOFF).await;
                     continue;
                 }
             }
-            // Instances that start later connect to this one; reading again heals what was missed.
-            sleep(pause).await;
-            pause = INSTANCES_PERIOD;
-            while self.is_read_for() {
-                sleep(INSTANCES_PERIOD).await;
+            // Instances that start later connect to this one; repeated reads find any missed ones.
+            sleep(delay).await;
+            delay = DISCOVERY_INTERVAL;
+            while self.has_zone_reader() {
+                sleep(DISCOVERY_INTERVAL).await;
             }
         }
     }
 
-    /// Compares the copies of tables with those of other instances and fetches what is newer.
-    pub async fn heal_tables(self: Rc<Self>) {
+    /// Compares table caches with those of other instances and fetches newer ones.
+    pub async fn run_anti_entropy(self: Rc<Self>) {
         let mut behind = [false; 2];
         loop {
-            sleep(HEALING_PERIOD).await;
-            self.directory.borrow_mut().forget_gone(self.now());
+            sleep(ANTI_ENTROPY_INTERVAL).await;
+            self.directory.borrow_mut().remove_expired(self.now());
             for (index, table) in WatchedTable::ALL.into_iter().enumerate() {
                 let own = self.tables.borrow().versions()[index];
                 let live = self.peers.live();
-                let newest = live.into_iter().max_by_key(|peer| peer.status().tables[index]);
-                let ahead = newest.filter(|peer| peer.status().tables[index] > own);
+                let newest =
+                    live.into_iter().max_by_key(|peer| peer.status().table_versions[index]);
+                let ahead = newest.filter(|peer| peer.status().table_versions[index] > own);
                 let Some(peer) = ahead else {
                     behind[index] = false;
                     continue;
                 };
-                // What is on its way from the reader needs no healing.
+                // Changes that the reader has just pushed may still be in flight: fetch the table
+                // only if it is behind in two successive rounds.
                 if !std::mem::replace(&mut behind[index], true) && own > 0 {
                     continue;
                 }
                 if let Some((rows, version)) = peer.fetch_table(table, TABLE_TIMEOUT).await {
-                    self.tables.borrow_mut().table(table).note_version(version);
-                    self.take_rows(table, rows);
+                    self.tables.borrow_mut().table(table).raise_version(version);
+                    self.merge_rows(table, rows);
                     if table == WatchedTable::Endpoints {
-                        self.directory.borrow_mut().note_endpoints_read();
+                        self.directory.borrow_mut().set_endpoints_loaded();
                     }
                 }
             }
