--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -20,8 +20,8 @@
 use telemetry::log_event;
 use tokio::net::TcpListener;
 
-use crate::fleet::{self, ForceReport, InstanceView};
-use crate::plan::{self, EntryChange};
+use crate::diff::{self, EntryChange};
+use crate::instances::{self, InstanceView, RolloutReport};
 use crate::settings::{AdminSettings, OperatorCredential};
 
 /// Time that an operation on the platform's services may take.
@@ -57,27 +57,31 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ApplyRequest {
     /// Revision that the change rests on; zero for none.
-    pub expected: u64,
+    #[serde(rename = "expected")]
+    pub expected_revision: u64,
     /// Text of the document.
     pub text: String,
     /// Identifier by which a repeated request is recognised.
-    pub request: String,
+    #[serde(rename = "request")]
+    pub request_id: String,
 }
 
 /// Request to promote a document from the environment before this one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PromoteRequest {
     /// Revision that the change rests on; zero for none.
-    pub expected: u64,
+    #[serde(rename = "expected")]
+    pub expected_revision: u64,
     /// Digest of the document to promote.
     pub digest: String,
     /// Identifier by which a repeated request is recognised.
-    pub request: String,
+    #[serde(rename = "request")]
+    pub request_id: String,
 }
 
 /// Document with its head.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DocumentReply {
+pub struct DocumentResponse {
     /// Head of the revision; none before the first document.
     pub head: Option<DocumentHead>,
     /// Text of the document.
@@ -86,7 +90,7 @@
 
 /// What a document would change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct PlanReply {
+pub struct PlanResponse {
     /// Revision in force, zero for none.
     pub revision: u64,
     /// Changes against the document in force.
@@ -95,16 +99,17 @@
 
 /// Answer to an accepted change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ApplyReply {
+pub struct ApplyResponse {
     /// Head of the revision that was made.
     pub head: DocumentHead,
     /// Where the revision is in force.
-    pub force: ForceReport,
+    #[serde(rename = "force")]
+    pub rollout: RolloutReport,
 }
 
 /// Explanation of a refusal.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ErrorReply {
+pub struct ErrorResponse {
     /// Short name of the refusal.
     pub error: String,
     /// Explanation.
@@ -119,7 +124,7 @@
 
 /// State of the environment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct StatusReply {
+pub struct StatusResponse {
     /// Name of the environment.
     pub environment: String,
     /// Head in force, none before the first document.
@@ -143,12 +148,12 @@
 /// Refusal of an API request.
 struct ApiRefusal {
     status: StatusCode,
-    reply: Box<ErrorReply>,
+    reply: Box<ErrorResponse>,
 }
 
 impl ApiRefusal {
     fn new(status: StatusCode, error: &str, detail: impl ToString) -> Self {
-        let reply = ErrorReply {
+        let reply = ErrorResponse {
             error: error.to_owned(),
             detail: detail.to_string(),
             head: None,
@@ -206,8 +211,9 @@
 ) -> Response {
     let header = request.headers().get(header::AUTHORIZATION);
     let token = header.and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "));
-    let known =
-        |operator: &&OperatorCredential| token.is_some_and(|token| operator.hash.matches(token));
+    let known = |operator: &&OperatorCredential| {
+        token.is_some_and(|token| operator.token_hash.matches(token))
+    };
     let Some(operator) = service.settings.operators.iter().find(known) else {
         let detail = "an operator's token is required";
         let status = StatusCode::UNAUTHORIZED;
@@ -218,11 +224,11 @@
     next.run(request).await
 }
 
-async fn read_document(State(service): ServiceState) -> ApiResult<DocumentReply> {
+async fn read_document(State(service): ServiceState) -> ApiResult<DocumentResponse> {
     let current = service.store().current().await?;
     let (head, text) =
         current.map_or((None, String::new()), |stored| (Some(stored.head), stored.text));
-    Ok(Json(DocumentReply { head, text }))
+    Ok(Json(DocumentResponse { head, text }))
 }
 
 async fn validate_document(Json(body): Json<DocumentRequest>) -> ApiResult<DocumentRequest> {
@@ -233,7 +239,7 @@
 async fn plan_document(
     State(service): ServiceState,
     Json(body): Json<DocumentRequest>,
-) -> ApiResult<PlanReply> {
+) -> ApiResult<PlanResponse> {
     let document = parse(&body.text)?;
     Ok(Json(service.plan(&document).await?))
 }
@@ -242,20 +248,20 @@
     State(service): ServiceState,
     Extension(operator): Extension<OperatorName>,
     Json(body): Json<ApplyRequest>,
-) -> ApiResult<ApplyReply> {
+) -> ApiResult<ApplyResponse> {
     parse(&body.text)?;
     if let Some(from) = &service.settings.promote_from {
         let detail = format!("this environment takes documents only by promotion from {from:?}");
         return Err(ApiRefusal::new(StatusCode::FORBIDDEN, "promotion_only", detail));
     }
-    service.replace(body.expected, &body.text, &body.request, &operator).await
+    service.replace(body.expected_revision, &body.text, &body.request_id, &operator).await
 }
 
 async fn promote_document(
     State(service): ServiceState,
     Extension(operator): Extension<OperatorName>,
     Json(body): Json<PromoteRequest>,
-) -> ApiResult<ApplyReply> {
+) -> ApiResult<ApplyResponse> {
     let Some(from) = &service.settings.promote_from else {
         let detail = "this environment has none before it";
         return Err(ApiRefusal::new(StatusCode::FORBIDDEN, "no_trial", detail));
@@ -272,15 +278,15 @@
         operator: String::new(),
     };
     let text = trial.body(&head).await?;
-    service.replace(body.expected, &text, &body.request, &operator).await
+    service.replace(body.expected_revision, &text, &body.request_id, &operator).await
 }
 
-async fn status(State(service): ServiceState) -> ApiResult<StatusReply> {
+async fn status(State(service): ServiceState) -> ApiResult<StatusResponse> {
     let head = service.store().head().await?;
     let listed = service.platform.instances().await.map_err(StoreError::from)?;
-    let instances = fleet::report(&listed).await;
+    let instances = instances::collect_reports(&listed).await;
     let environment = service.settings.environment.clone();
-    Ok(Json(StatusReply { environment, head, instances }))
+    Ok(Json(StatusResponse { environment, head, instances }))
 }
 
 fn parse(text: &str) -> Result<Document, ApiRefusal> {
@@ -293,13 +299,13 @@
         DocumentStore::new(&self.platform, &self.settings.environment)
     }
 
-    async fn plan(&self, document: &Document) -> Result<PlanReply, ApiRefusal> {
+    async fn plan(&self, document: &Document) -> Result<PlanResponse, ApiRefusal> {
         let Some(stored) = self.store().current().await? else {
-            let changes = plan::compare(&Document::default(), document);
-            return Ok(PlanReply { revision: 0, changes });
+            let changes = diff::compare_documents(&Document::default(), document);
+            return Ok(PlanResponse { revision: 0, changes });
         };
-        let changes = plan::compare(&parse(&stored.text)?, document);
-        Ok(PlanReply { revision: stored.head.revision, changes })
+        let changes = diff::compare_documents(&parse(&stored.text)?, document);
+        Ok(PlanResponse { revision: stored.head.revision, changes })
     }
 
     async fn replace(
@@ -308,15 +314,15 @@
         text: &str,
         request: &str,
         operator: &OperatorName,
-    ) -> ApiResult<ApplyReply> {
+    ) -> ApiResult<ApplyResponse> {
         let store = self.store();
         match store.replace(expected, text, request, &operator.0).await? {
             ReplaceOutcome::Accepted(head) => {
                 let (revision, name) = (head.revision, &operator.0);
                 log_event!(LogEvent::DocumentAccepted, "revision={revision} operator={name}");
                 let listed = self.platform.instances().await.unwrap_or_default();
-                let force = fleet::wait_for_force(&listed, revision).await;
-                Ok(Json(ApplyReply { head, force }))
+                let rollout = instances::wait_for_rollout(&listed, revision).await;
+                Ok(Json(ApplyResponse { head, rollout }))
             }
             ReplaceOutcome::Conflict(head) => {
                 let (found, name) = (head.revision, &operator.0);
--- a/crates/admin/src/plan.rs
+++ b/crates/admin/src/diff.rs
@@ -30,7 +30,7 @@
 }
 
 /// Lists the changes that lead from `before` to `after`.
-pub fn compare(before: &Document, after: &Document) -> Vec<EntryChange> {
+pub fn compare_documents(before: &Document, after: &Document) -> Vec<EntryChange> {
     let mut changes = Vec::new();
     compare_section(&mut changes, "team", &before.teams, &after.teams, |team| &team.name);
     let (old, new) = (&before.databases, &after.databases);
--- a/crates/admin/src/fleet.rs
+++ b/crates/admin/src/instances.rs
@@ -81,19 +81,20 @@
 
 /// Where a revision is in force.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct ForceReport {
+pub struct RolloutReport {
     /// Tells that no listed instance acts on an older document any more.
     pub everywhere: bool,
     /// Instances that confirmed the revision.
     pub confirmed: Vec<String>,
     /// Instances that did not answer, whose older document has run out.
-    pub run_out: Vec<String>,
+    #[serde(rename = "run_out")]
+    pub expired: Vec<String>,
     /// Time until the revision was in force, in milliseconds.
     pub time_ms: u64,
 }
 
 /// Asks every listed instance for its report.
-pub async fn report(listed: &[InstanceRecord]) -> Vec<InstanceView> {
+pub async fn collect_reports(listed: &[InstanceRecord]) -> Vec<InstanceView> {
     let mut questions = JoinSet::new();
     for record in listed.iter().cloned() {
         questions.spawn(async move {
@@ -112,9 +113,9 @@
 }
 
 /// Waits until every listed instance has confirmed a revision or can act on no older one.
-pub async fn wait_for_force(listed: &[InstanceRecord], revision: u64) -> ForceReport {
+pub async fn wait_for_rollout(listed: &[InstanceRecord], revision: u64) -> RolloutReport {
     let begin = Instant::now();
-    let mut report = ForceReport::default();
+    let mut report = RolloutReport::default();
     let mut waiting: Vec<InstanceRecord> = listed.to_vec();
     while !waiting.is_empty() && begin.elapsed() < FORCE_LIMIT {
         let mut questions = JoinSet::new();
@@ -138,10 +139,10 @@
     // An instance that answers with an older revision acts on it; one that is silent cannot.
     for record in waiting {
         if ask(&record).await.is_none() {
-            report.run_out.push(record.name);
+            report.expired.push(record.name);
         }
     }
-    report.everywhere = report.confirmed.len() + report.run_out.len() == listed.len();
+    report.everywhere = report.confirmed.len() + report.expired.len() == listed.len();
     report.confirmed.sort();
     report.time_ms = begin.elapsed().as_millis() as u64;
     report
--- a/crates/admin/src/settings.rs
+++ b/crates/admin/src/settings.rs
@@ -12,7 +12,7 @@
     /// Name of the operator.
     pub name: String,
     /// Salted hash of the operator's token.
-    pub hash: KeyHash,
+    pub token_hash: KeyHash,
 }
 
 impl FromStr for OperatorCredential {
@@ -21,7 +21,7 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let (name, hash) = text.split_once('=').ok_or("expected NAME=sha256$SALT$DIGEST")?;
         let hash = hash.parse().map_err(|error| format!("{error}"))?;
-        Ok(Self { name: name.to_owned(), hash })
+        Ok(Self { name: name.to_owned(), token_hash: hash })
     }
 }
 
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use admin::api::ErrorReply;
+use admin::api::ErrorResponse;
 use reqwest::{Client, Method, StatusCode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -37,7 +37,7 @@
         /// Status of the answer.
         status: StatusCode,
         /// Explanation.
-        reply: Box<ErrorReply>,
+        reply: Box<ErrorResponse>,
     },
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-fn describe(reply: &ErrorReply) -> String {
+fn describe(reply: &ErrorResponse) -> String {
     let mut text = format!("{}: {}", reply.error, reply.detail);
     if let Some(head) = &reply.head {
         text += &format!("\nin force: revision {} by {}", head.revision, head.operator);
@@ -112,7 +112,7 @@
             return response.json().await.context(context);
         }
         let text = response.text().await.unwrap_or_default();
-        let reply = serde_json::from_str(&text).unwrap_or_else(|_| ErrorReply {
+        let reply = serde_json::from_str(&text).unwrap_or_else(|_| ErrorResponse {
             error: status.to_string(),
             detail: text,
             head: None,
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 
 use admin::api::{
-    ApplyReply, ApplyRequest, DocumentReply, DocumentRequest, PlanReply, PromoteRequest,
-    StatusReply,
+    ApplyRequest, ApplyResponse, DocumentRequest, DocumentResponse, PlanResponse, PromoteRequest,
+    StatusResponse,
 };
 use snafu::{OptionExt as _, ResultExt as _, Snafu};
 use state::credential::{KeyHash, generate_key};
@@ -97,27 +97,27 @@
     match command {
         ControlCommand::Plan { file } => {
             let body = DocumentRequest { text: read(&file)? };
-            let plan: PlanReply = client.post("/v1/plan", &body).await?;
+            let plan: PlanResponse = client.post("/v1/plan", &body).await?;
             print!("against revision {}\n{}", plan.revision, show::changes(&plan.changes));
         }
         ControlCommand::Apply { file, expect, request } => {
             let text = read(&file)?;
             Document::parse(&text)?;
-            let expected = expected(client, expect).await?;
-            let request = request.unwrap_or_else(request_id);
-            eprintln!("request {request}");
-            let body = ApplyRequest { expected, text, request };
+            let expected_revision = expected_revision(client, expect).await?;
+            let request_id = request.unwrap_or_else(new_request_id);
+            eprintln!("request {request_id}");
+            let body = ApplyRequest { expected_revision, text, request_id };
             show_applied(&client.post("/v1/document", &body).await?);
         }
         ControlCommand::Promote { digest, expect, request } => {
-            let expected = expected(client, expect).await?;
-            let request = request.unwrap_or_else(request_id);
-            eprintln!("request {request}");
-            let body = PromoteRequest { expected, digest, request };
+            let expected_revision = expected_revision(client, expect).await?;
+            let request_id = request.unwrap_or_else(new_request_id);
+            eprintln!("request {request_id}");
+            let body = PromoteRequest { expected_revision, digest, request_id };
             show_applied(&client.post("/v1/promote", &body).await?);
         }
         ControlCommand::Status { json } => {
-            let status: StatusReply = client.get("/v1/status").await?;
+            let status: StatusResponse = client.get("/v1/status").await?;
             if json {
                 println!("{}", serde_json::to_string_pretty(&status)?);
             } else {
@@ -125,7 +125,7 @@
             }
         }
         ControlCommand::Show => {
-            let document: DocumentReply = client.get("/v1/document").await?;
+            let document: DocumentResponse = client.get("/v1/document").await?;
             print!("{}", document.text);
         }
         ControlCommand::Team(command) => change(client, team_edit(command)).await?,
@@ -150,7 +150,7 @@
             change(client, DocumentEdit::RemoveKey { team, fingerprint }).await?;
         }
         KeyCommand::List { team } => {
-            let reply: DocumentReply = client.get("/v1/document").await?;
+            let reply: DocumentResponse = client.get("/v1/document").await?;
             let document = Document::parse(&reply.text)?;
             let found = document.teams.iter().find(|section| section.name == team);
             let section = found.context(NoTeamSnafu { name: team })?;
@@ -173,12 +173,12 @@
 async fn change(client: &AdminClient, edit: DocumentEdit) -> Result<(), ControlError> {
     let mut attempt = 1;
     loop {
-        let current: DocumentReply = client.get("/v1/document").await?;
+        let current: DocumentResponse = client.get("/v1/document").await?;
         let text = edit::apply(&current.text, &edit)?;
         Document::parse(&text)?;
-        let expected = current.head.map_or(0, |head| head.revision);
-        let body = ApplyRequest { expected, text, request: request_id() };
-        match client.post::<_, ApplyReply>("/v1/document", &body).await {
+        let expected_revision = current.head.map_or(0, |head| head.revision);
+        let body = ApplyRequest { expected_revision, text, request_id: new_request_id() };
+        match client.post::<_, ApplyResponse>("/v1/document", &body).await {
             Err(error) if error.status() == 4 && attempt < EDIT_ATTEMPTS => attempt += 1,
             other => {
                 show_applied(&other?);
@@ -188,19 +188,19 @@
     }
 }
 
-fn show_applied(reply: &ApplyReply) {
-    print!("{}{}", show::head(&reply.head), show::force(&reply.force));
+fn show_applied(reply: &ApplyResponse) {
+    print!("{}{}", show::head(&reply.head), show::force(&reply.rollout));
 }
 
-async fn expected(client: &AdminClient, given: Option<u64>) -> Result<u64, ControlError> {
+async fn expected_revision(client: &AdminClient, given: Option<u64>) -> Result<u64, ControlError> {
     if let Some(revision) = given {
         return Ok(revision);
     }
-    let status: StatusReply = client.get("/v1/status").await?;
+    let status: StatusResponse = client.get("/v1/status").await?;
     Ok(status.head.map_or(0, |head| head.revision))
 }
 
-fn request_id() -> String {
+fn new_request_id() -> String {
     format!("{:016x}", rand::random::<u64>())
 }
 
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -2,9 +2,9 @@
 
 use std::fmt::Write as _;
 
-use admin::api::StatusReply;
-use admin::fleet::{ForceReport, InstanceView};
-use admin::plan::{ChangeKind, EntryChange};
+use admin::api::StatusResponse;
+use admin::diff::{ChangeKind, EntryChange};
+use admin::instances::{InstanceView, RolloutReport};
 use net::store::DocumentHead;
 
 /// Describes changes, one entry a line.
@@ -32,19 +32,19 @@
 }
 
 /// Describes where a revision is in force.
-pub fn force(force: &ForceReport) -> String {
+pub fn force(force: &RolloutReport) -> String {
     let state =
         if force.everywhere { "in force everywhere" } else { "NOT YET in force everywhere" };
     let mut text = format!("{state} after {} ms\n", force.time_ms);
     _ = writeln!(text, "confirmed by {}", list(&force.confirmed));
-    if !force.run_out.is_empty() {
-        _ = writeln!(text, "silent, older document run out: {}", list(&force.run_out));
+    if !force.expired.is_empty() {
+        _ = writeln!(text, "silent, older document run out: {}", list(&force.expired));
     }
     text
 }
 
 /// Describes an environment.
-pub fn status(status: &StatusReply) -> String {
+pub fn status(status: &StatusResponse) -> String {
     let mut text = format!("environment {}\n", status.environment);
     match &status.head {
         Some(found) => text += &head(found),
--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -327,8 +327,10 @@
     operator_token: &str,
 ) -> Result<SocketAddr, LabError> {
     let (listener, address) = listen(options.admin_port).await?;
-    let operator =
-        OperatorCredential { name: OPERATOR.to_owned(), hash: KeyHash::generate(operator_token) };
+    let operator = OperatorCredential {
+        name: OPERATOR.to_owned(),
+        token_hash: KeyHash::generate(operator_token),
+    };
     let settings = AdminSettings {
         listen: address,
         environment: ENVIRONMENT.to_owned(),
--- a/crates/lab/tests/administration.rs
+++ b/crates/lab/tests/administration.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 
 use admin::api::{
-    self, ApplyReply, ApplyRequest, DocumentRequest, ErrorReply, PlanReply, PromoteRequest,
-    StatusReply,
+    self, ApplyRequest, ApplyResponse, DocumentRequest, ErrorResponse, PlanResponse,
+    PromoteRequest, StatusResponse,
 };
-use admin::plan::ChangeKind;
+use admin::diff::ChangeKind;
 use admin::settings::{AdminSettings, OperatorCredential};
 use reqwest::{Client, Response, StatusCode};
 use serde::Serialize;
@@ -43,7 +43,7 @@
         platform: format!("http://{platform}"),
         operators: vec![OperatorCredential {
             name: "ann".to_owned(),
-            hash: KeyHash::generate(TOKEN),
+            token_hash: KeyHash::generate(TOKEN),
         }],
     };
     tokio::spawn(api::serve_on(listener, settings));
@@ -70,7 +70,11 @@
 }
 
 async fn apply(address: SocketAddr, expected: u64, text: &str, request: &str) -> Response {
-    let body = ApplyRequest { expected, text: text.to_owned(), request: request.to_owned() };
+    let body = ApplyRequest {
+        expected_revision: expected,
+        text: text.to_owned(),
+        request_id: request.to_owned(),
+    };
     post(address, "/v1/document", &body).await
 }
 
@@ -84,7 +88,7 @@
     let wrong = client.get(&url).bearer_auth("wrong").send().await.expect("an answer");
     assert_eq!(wrong.status(), StatusCode::UNAUTHORIZED);
     let right = client.get(&url).bearer_auth(TOKEN).send().await.expect("an answer");
-    let status: StatusReply = read(right, StatusCode::OK).await;
+    let status: StatusResponse = read(right, StatusCode::OK).await;
     assert_eq!((status.environment.as_str(), status.head), ("trial", None));
 }
 
@@ -93,18 +97,18 @@
     let platform = start().await;
     let invalid = DocumentRequest { text: "format = 1\nteams = 3\n".to_owned() };
     let refused = post(platform.trial, "/v1/plan", &invalid).await;
-    let reply: ErrorReply = read(refused, StatusCode::UNPROCESSABLE_ENTITY).await;
+    let reply: ErrorResponse = read(refused, StatusCode::UNPROCESSABLE_ENTITY).await;
     assert!(reply.detail.contains("line 2, column 1"), "{}", reply.detail);
-    let applied: ApplyReply =
+    let applied: ApplyResponse =
         read(apply(platform.trial, 0, FIRST, "r1").await, StatusCode::OK).await;
     assert_eq!((applied.head.revision, applied.head.operator.as_str()), (1, "ann"));
     let change = DocumentRequest { text: SECOND.to_owned() };
-    let plan: PlanReply =
+    let plan: PlanResponse =
         read(post(platform.trial, "/v1/plan", &change).await, StatusCode::OK).await;
     let field = "rate: 10.0 -> 20.0".to_owned();
     assert_eq!(plan.changes[0].change, ChangeKind::Changed(vec![field.clone()]));
     let lost = apply(platform.trial, 0, SECOND, "r2").await;
-    let reply: ErrorReply = read(lost, StatusCode::CONFLICT).await;
+    let reply: ErrorResponse = read(lost, StatusCode::CONFLICT).await;
     assert_eq!(reply.head.map(|head| head.revision), Some(1));
     assert_eq!(reply.changes[0].change, ChangeKind::Changed(vec![field]));
 }
@@ -117,8 +121,10 @@
     platform.hub.platform.set_fault(lose.clone());
     let first = apply(platform.trial, 0, FIRST, "r1").await;
     assert_eq!(first.status(), StatusCode::SERVICE_UNAVAILABLE);
-    let again: ApplyReply = read(apply(platform.trial, 0, FIRST, "r1").await, StatusCode::OK).await;
-    let third: ApplyReply = read(apply(platform.trial, 0, FIRST, "r1").await, StatusCode::OK).await;
+    let again: ApplyResponse =
+        read(apply(platform.trial, 0, FIRST, "r1").await, StatusCode::OK).await;
+    let third: ApplyResponse =
+        read(apply(platform.trial, 0, FIRST, "r1").await, StatusCode::OK).await;
     assert_eq!((again.head.revision, third.head), (1, again.head));
 }
 
@@ -126,24 +132,25 @@
 async fn promotes_only_what_was_tried() {
     let platform = start().await;
     let direct = apply(platform.production, 0, FIRST, "r1").await;
-    let reply: ErrorReply = read(direct, StatusCode::FORBIDDEN).await;
+    let reply: ErrorResponse = read(direct, StatusCode::FORBIDDEN).await;
     assert_eq!(reply.error, "promotion_only");
-    let tried: ApplyReply = read(apply(platform.trial, 0, FIRST, "r1").await, StatusCode::OK).await;
+    let tried: ApplyResponse =
+        read(apply(platform.trial, 0, FIRST, "r1").await, StatusCode::OK).await;
     let promote = |digest: &str, request: &str| PromoteRequest {
-        expected: 0,
+        expected_revision: 0,
         digest: digest.to_owned(),
-        request: request.to_owned(),
+        request_id: request.to_owned(),
     };
     let never = state::credential::sha256_hex(SECOND.as_bytes());
     let refused = post(platform.production, "/v1/promote", &promote(&never, "p1")).await;
-    let reply: ErrorReply = read(refused, StatusCode::CONFLICT).await;
+    let reply: ErrorResponse = read(refused, StatusCode::CONFLICT).await;
     assert_eq!(reply.error, "never_tried");
     let body = promote(&tried.head.digest, "p2");
-    let promoted: ApplyReply =
+    let promoted: ApplyResponse =
         read(post(platform.production, "/v1/promote", &body).await, StatusCode::OK).await;
     assert_eq!(promoted.head.digest, tried.head.digest);
     let url = format!("http://{}/v1/document", platform.production);
     let document = Client::new().get(url).bearer_auth(TOKEN).send().await.expect("an answer");
-    let document: api::DocumentReply = read(document, StatusCode::OK).await;
+    let document: api::DocumentResponse = read(document, StatusCode::OK).await;
     assert_eq!(document.text, FIRST, "byte for byte");
 }
