--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -146,36 +146,36 @@
 type ServiceState = State<Arc<AdminService>>;
 
 /// Refusal of an API request.
-struct ApiRefusal {
+struct ApiError {
     status: StatusCode,
-    reply: Box<ErrorResponse>,
+    body: Box<ErrorResponse>,
 }
 
-impl ApiRefusal {
-    fn new(status: StatusCode, error: &str, detail: impl ToString) -> Self {
-        let reply = ErrorResponse {
-            error: error.to_owned(),
+impl ApiError {
+    fn new(status: StatusCode, code: &str, detail: impl ToString) -> Self {
+        let body = ErrorResponse {
+            error: code.to_owned(),
             detail: detail.to_string(),
             head: None,
             changes: Vec::new(),
         };
-        Self { status, reply: Box::new(reply) }
+        Self { status, body: Box::new(body) }
     }
 }
 
-impl From<StoreError> for ApiRefusal {
+impl From<StoreError> for ApiError {
     fn from(error: StoreError) -> Self {
         Self::new(StatusCode::SERVICE_UNAVAILABLE, "store", error)
     }
 }
 
-impl IntoResponse for ApiRefusal {
+impl IntoResponse for ApiError {
     fn into_response(self) -> Response {
-        (self.status, Json(*self.reply)).into_response()
+        (self.status, Json(*self.body)).into_response()
     }
 }
 
-type ApiResult<T> = Result<Json<T>, ApiRefusal>;
+type ApiResult<T> = Result<Json<T>, ApiError>;
 
 /// Opens the listener and serves until the task ends.
 pub async fn serve(settings: AdminSettings) -> Result<(), AdminError> {
@@ -198,7 +198,7 @@
         .route("/v1/validate", post(validate_document))
         .route("/v1/plan", post(plan_document))
         .route("/v1/promote", post(promote_document))
-        .route("/v1/status", get(status))
+        .route("/v1/status", get(read_status))
         .layer(middleware::from_fn_with_state(service.clone(), authenticate))
         .layer(DefaultBodyLimit::max(2 * MAX_DOCUMENT_BYTES))
         .with_state(service)
@@ -211,13 +211,13 @@
 ) -> Response {
     let header = request.headers().get(header::AUTHORIZATION);
     let token = header.and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "));
-    let known = |operator: &&OperatorCredential| {
+    let has_token = |operator: &&OperatorCredential| {
         token.is_some_and(|token| operator.token_hash.matches(token))
     };
-    let Some(operator) = service.settings.operators.iter().find(known) else {
+    let Some(operator) = service.settings.operators.iter().find(has_token) else {
         let detail = "an operator's token is required";
         let status = StatusCode::UNAUTHORIZED;
-        return ApiRefusal::new(status, "unauthorized", detail).into_response();
+        return ApiError::new(status, "unauthorized", detail).into_response();
     };
     let name = OperatorName(operator.name.clone());
     request.extensions_mut().insert(name);
@@ -232,7 +232,7 @@
 }
 
 async fn validate_document(Json(body): Json<DocumentRequest>) -> ApiResult<DocumentRequest> {
-    parse(&body.text)?;
+    parse_document(&body.text)?;
     Ok(Json(body))
 }
 
@@ -240,7 +240,7 @@
     State(service): ServiceState,
     Json(body): Json<DocumentRequest>,
 ) -> ApiResult<PlanResponse> {
-    let document = parse(&body.text)?;
+    let document = parse_document(&body.text)?;
     Ok(Json(service.plan(&document).await?))
 }
 
@@ -249,12 +249,12 @@
     Extension(operator): Extension<OperatorName>,
     Json(body): Json<ApplyRequest>,
 ) -> ApiResult<ApplyResponse> {
-    parse(&body.text)?;
-    if let Some(from) = &service.settings.promote_from {
-        let detail = format!("this environment takes documents only by promotion from {from:?}");
-        return Err(ApiRefusal::new(StatusCode::FORBIDDEN, "promotion_only", detail));
+    parse_document(&body.text)?;
+    if let Some(source) = &service.settings.promote_from {
+        let detail = format!("this environment takes documents only by promotion from {source:?}");
+        return Err(ApiError::new(StatusCode::FORBIDDEN, "promotion_only", detail));
     }
-    service.replace(body.expected_revision, &body.text, &body.request_id, &operator).await
+    service.replace_document(body.expected_revision, &body.text, &body.request_id, &operator).await
 }
 
 async fn promote_document(
@@ -262,14 +262,14 @@
     Extension(operator): Extension<OperatorName>,
     Json(body): Json<PromoteRequest>,
 ) -> ApiResult<ApplyResponse> {
-    let Some(from) = &service.settings.promote_from else {
+    let Some(source) = &service.settings.promote_from else {
         let detail = "this environment has none before it";
-        return Err(ApiRefusal::new(StatusCode::FORBIDDEN, "no_trial", detail));
+        return Err(ApiError::new(StatusCode::FORBIDDEN, "no_trial", detail));
     };
-    let trial = DocumentStore::new(&service.platform, from);
-    if !trial.was_in_force(&body.digest).await? {
-        let detail = format!("document {} was never in force in {from:?}", body.digest);
-        return Err(ApiRefusal::new(StatusCode::CONFLICT, "never_tried", detail));
+    let source_store = DocumentStore::new(&service.platform, source);
+    if !source_store.was_in_force(&body.digest).await? {
+        let detail = format!("document {} was never in force in {source:?}", body.digest);
+        return Err(ApiError::new(StatusCode::CONFLICT, "never_tried", detail));
     }
     let head = DocumentHead {
         revision: 0,
@@ -277,21 +277,21 @@
         request: String::new(),
         operator: String::new(),
     };
-    let text = trial.body(&head).await?;
-    service.replace(body.expected_revision, &text, &body.request_id, &operator).await
+    let text = source_store.body(&head).await?;
+    service.replace_document(body.expected_revision, &text, &body.request_id, &operator).await
 }
 
-async fn status(State(service): ServiceState) -> ApiResult<StatusResponse> {
+async fn read_status(State(service): ServiceState) -> ApiResult<StatusResponse> {
     let head = service.store().head().await?;
-    let listed = service.platform.instances().await.map_err(StoreError::from)?;
-    let instances = instances::collect_reports(&listed).await;
+    let records = service.platform.instances().await.map_err(StoreError::from)?;
+    let instances = instances::collect_reports(&records).await;
     let environment = service.settings.environment.clone();
     Ok(Json(StatusResponse { environment, head, instances }))
 }
 
-fn parse(text: &str) -> Result<Document, ApiRefusal> {
+fn parse_document(text: &str) -> Result<Document, ApiError> {
     let parsed = Document::parse(text);
-    parsed.map_err(|error| ApiRefusal::new(StatusCode::UNPROCESSABLE_ENTITY, "invalid", error))
+    parsed.map_err(|error| ApiError::new(StatusCode::UNPROCESSABLE_ENTITY, "invalid", error))
 }
 
 impl AdminService {
@@ -299,43 +299,45 @@
         DocumentStore::new(&self.platform, &self.settings.environment)
     }
 
-    async fn plan(&self, document: &Document) -> Result<PlanResponse, ApiRefusal> {
+    async fn plan(&self, document: &Document) -> Result<PlanResponse, ApiError> {
         let Some(stored) = self.store().current().await? else {
             let changes = diff::compare_documents(&Document::default(), document);
             return Ok(PlanResponse { revision: 0, changes });
         };
-        let changes = diff::compare_documents(&parse(&stored.text)?, document);
+        let changes = diff::compare_documents(&parse_document(&stored.text)?, document);
         Ok(PlanResponse { revision: stored.head.revision, changes })
     }
 
-    async fn replace(
+    async fn replace_document(
         &self,
-        expected: u64,
+        expected_revision: u64,
         text: &str,
-        request: &str,
+        request_id: &str,
         operator: &OperatorName,
     ) -> ApiResult<ApplyResponse> {
         let store = self.store();
-        match store.replace(expected, text, request, &operator.0).await? {
+        match store.replace(expected_revision, text, request_id, &operator.0).await? {
             ReplaceOutcome::Accepted(head) => {
                 let (revision, name) = (head.revision, &operator.0);
                 log_event!(LogEvent::DocumentAccepted, "revision={revision} operator={name}");
-                let listed = self.platform.instances().await.unwrap_or_default();
-                let rollout = instances::wait_for_rollout(&listed, revision).await;
+                let records = self.platform.instances().await.unwrap_or_default();
+                let rollout = instances::wait_for_rollout(&records, revision).await;
                 Ok(Json(ApplyResponse { head, rollout }))
             }
             ReplaceOutcome::Conflict(head) => {
-                let (found, name) = (head.revision, &operator.0);
+                let (current_revision, name) = (head.revision, &operator.0);
                 log_event!(
                     LogEvent::DocumentConflict,
-                    "expected={expected} found={found} operator={name}"
+                    "expected={expected_revision} found={current_revision} operator={name}"
                 );
-                let plan = self.plan(&parse(text)?).await?;
-                let detail = format!("revision {expected} was expected, {found} is in force");
-                let mut refusal = ApiRefusal::new(StatusCode::CONFLICT, "conflict", detail);
-                refusal.reply.head = Some(head);
-                refusal.reply.changes = plan.changes;
-                Err(refusal)
+                let plan = self.plan(&parse_document(text)?).await?;
+                let detail = format!(
+                    "revision {expected_revision} was expected, {current_revision} is in force"
+                );
+                let mut error = ApiError::new(StatusCode::CONFLICT, "conflict", detail);
+                error.body.head = Some(head);
+                error.body.changes = plan.changes;
+                Err(error)
             }
         }
     }
--- a/crates/admin/src/diff.rs
+++ b/crates/admin/src/diff.rs
@@ -44,10 +44,10 @@
     section: &str,
     before: &[T],
     after: &[T],
-    name: impl Fn(&T) -> &String,
+    name_of: impl Fn(&T) -> &String,
 ) {
-    let old: BTreeMap<&String, &T> = before.iter().map(|entry| (name(entry), entry)).collect();
-    let new: BTreeMap<&String, &T> = after.iter().map(|entry| (name(entry), entry)).collect();
+    let old: BTreeMap<&String, &T> = before.iter().map(|entry| (name_of(entry), entry)).collect();
+    let new: BTreeMap<&String, &T> = after.iter().map(|entry| (name_of(entry), entry)).collect();
     let mut push = |name: &str, change| {
         changes.push(EntryChange { section: section.to_owned(), name: name.to_owned(), change });
     };
@@ -58,15 +58,15 @@
         match old.get(name) {
             None => push(name, ChangeKind::Added),
             Some(previous) if previous != entry => {
-                push(name, ChangeKind::Changed(changed_fields(*previous, *entry)));
+                push(name, ChangeKind::Changed(format_changed_fields(*previous, *entry)));
             }
             Some(_) => {}
         }
     }
 }
 
-fn changed_fields<T: Serialize>(before: &T, after: &T) -> Vec<String> {
-    let (old, new) = (fields(before), fields(after));
+fn format_changed_fields<T: Serialize>(before: &T, after: &T) -> Vec<String> {
+    let (old, new) = (field_map(before), field_map(after));
     let mut names: Vec<&String> = old.keys().chain(new.keys()).collect();
     names.sort();
     names.dedup();
@@ -75,15 +75,15 @@
         .into_iter()
         .map(|name| (name, old.get(name).unwrap_or(&absent), new.get(name).unwrap_or(&absent)))
         .filter(|(_, old, new)| old != new)
-        .map(|(name, old, new)| format!("{name}: {} -> {}", shown(old), shown(new)))
+        .map(|(name, old, new)| format!("{name}: {} -> {}", format_value(old), format_value(new)))
         .collect()
 }
 
 /// Shows a value; key hashes appear as the fingerprints by which operators name them.
-fn shown(value: &serde_json::Value) -> String {
+fn format_value(value: &serde_json::Value) -> String {
     match value {
         serde_json::Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(shown).collect();
+            let items: Vec<String> = items.iter().map(format_value).collect();
             format!("[{}]", items.join(", "))
         }
         serde_json::Value::String(text) => match text.parse::<KeyHash>() {
@@ -94,7 +94,7 @@
     }
 }
 
-fn fields<T: Serialize>(entry: &T) -> serde_json::Map<String, serde_json::Value> {
+fn field_map<T: Serialize>(entry: &T) -> serde_json::Map<String, serde_json::Value> {
     match serde_json::to_value(entry) {
         Ok(serde_json::Value::Object(fields)) => fields,
         _ => serde_json::Map::new(),
--- a/crates/admin/src/instances.rs
+++ b/crates/admin/src/instances.rs
@@ -11,11 +11,11 @@
 use wire::platform::{InstanceRecord, InstanceState};
 
 /// Time that one instance has for its report.
-const REPORT_LIMIT: Duration = Duration::from_millis(500);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval between two rounds of questions while a revision spreads.
-const ROUND_INTERVAL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time after which an instance that does not answer has stopped to act on older documents.
-const FORCE_LIMIT: Duration = VALIDATION_TTL.saturating_add(Duration::from_millis(250));
+const ROLLOUT_TIMEOUT: Duration = VALIDATION_TTL.saturating_add(Duration::from_millis(250));
 
 /// Member of a database as an instance sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -94,11 +94,11 @@
 }
 
 /// Asks every listed instance for its report.
-pub async fn collect_reports(listed: &[InstanceRecord]) -> Vec<InstanceView> {
-    let mut questions = JoinSet::new();
-    for record in listed.iter().cloned() {
-        questions.spawn(async move {
-            let report = ask(&record).await.map(instance_report);
+pub async fn collect_reports(records: &[InstanceRecord]) -> Vec<InstanceView> {
+    let mut calls = JoinSet::new();
+    for record in records.iter().cloned() {
+        calls.spawn(async move {
+            let report = request_report(&record).await.map(instance_report);
             InstanceView {
                 name: record.name,
                 zone: record.zone,
@@ -107,63 +107,63 @@
             }
         });
     }
-    let mut views = questions.join_all().await;
-    views.sort_by(|one, other| one.name.cmp(&other.name));
+    let mut views = calls.join_all().await;
+    views.sort_by(|left, right| left.name.cmp(&right.name));
     views
 }
 
 /// Waits until every listed instance has confirmed a revision or can act on no older one.
-pub async fn wait_for_rollout(listed: &[InstanceRecord], revision: u64) -> RolloutReport {
-    let begin = Instant::now();
+pub async fn wait_for_rollout(records: &[InstanceRecord], revision: u64) -> RolloutReport {
+    let start = Instant::now();
     let mut report = RolloutReport::default();
-    let mut waiting: Vec<InstanceRecord> = listed.to_vec();
-    while !waiting.is_empty() && begin.elapsed() < FORCE_LIMIT {
-        let mut questions = JoinSet::new();
-        for record in waiting.drain(..) {
-            questions.spawn(async move {
-                let confirmed = announce(&record, revision).await;
+    let mut pending: Vec<InstanceRecord> = records.to_vec();
+    while !pending.is_empty() && start.elapsed() < ROLLOUT_TIMEOUT {
+        let mut calls = JoinSet::new();
+        for record in pending.drain(..) {
+            calls.spawn(async move {
+                let confirmed = announce_revision(&record, revision).await;
                 (record, confirmed)
             });
         }
-        for (record, confirmed) in questions.join_all().await {
+        for (record, confirmed) in calls.join_all().await {
             if confirmed {
                 report.confirmed.push(record.name);
             } else {
-                waiting.push(record);
+                pending.push(record);
             }
         }
-        if !waiting.is_empty() {
-            sleep(ROUND_INTERVAL).await;
+        if !pending.is_empty() {
+            sleep(POLL_INTERVAL).await;
         }
     }
     // An instance that answers with an older revision acts on it; one that is silent cannot.
-    for record in waiting {
-        if ask(&record).await.is_none() {
+    for record in pending {
+        if request_report(&record).await.is_none() {
             report.expired.push(record.name);
         }
     }
-    report.everywhere = report.confirmed.len() + report.expired.len() == listed.len();
+    report.everywhere = report.confirmed.len() + report.expired.len() == records.len();
     report.confirmed.sort();
-    report.time_ms = begin.elapsed().as_millis() as u64;
+    report.time_ms = start.elapsed().as_millis() as u64;
     report
 }
 
-async fn announce(record: &InstanceRecord, revision: u64) -> bool {
+async fn announce_revision(record: &InstanceRecord, revision: u64) -> bool {
     let announcement = Announcement { revision, epoch: 0, source: String::new() };
     let mut handle = peer::connect_lazy(record.peer);
-    let reply = timeout(REPORT_LIMIT, handle.announce(announcement)).await;
+    let reply = timeout(REPORT_TIMEOUT, handle.announce(announcement)).await;
     matches!(reply, Ok(Ok(reply)) if reply.get_ref().revision >= revision)
 }
 
-async fn ask(record: &InstanceRecord) -> Option<ReportReply> {
+async fn request_report(record: &InstanceRecord) -> Option<ReportReply> {
     let mut handle = peer::connect_lazy(record.peer);
-    let reply = timeout(REPORT_LIMIT, handle.report(ReportRequest {})).await.ok()?;
+    let reply = timeout(REPORT_TIMEOUT, handle.report(ReportRequest {})).await.ok()?;
     reply.ok().map(tonic::Response::into_inner)
 }
 
 fn instance_report(reply: ReportReply) -> InstanceReport {
     let summary = reply.summary.unwrap_or_default();
-    let member = |member: wire::peer::MemberReport| MemberView {
+    let member_view = |member: wire::peer::MemberReport| MemberView {
         database: member.database,
         member: member.member,
         zone: member.zone,
@@ -173,14 +173,15 @@
         reachable: member.reachable,
         age_ms: member.age_ms,
     };
-    let share = |share: wire::peer::HeldShare| ShareView { team: share.team, share: share.share };
+    let share_view =
+        |share: wire::peer::HeldShare| ShareView { team: share.team, share: share.share };
     InstanceReport {
         revision: summary.revision,
         epoch: summary.epoch,
         store_down: summary.store_down,
         phase: reply.phase,
         callers: reply.callers,
-        members: reply.members.into_iter().map(member).collect(),
-        shares: reply.shares.into_iter().map(share).collect(),
+        members: reply.members.into_iter().map(member_view).collect(),
+        shares: reply.shares.into_iter().map(share_view).collect(),
     }
 }
--- a/crates/admin/src/main.rs
+++ b/crates/admin/src/main.rs
@@ -31,7 +31,7 @@
 
 async fn run(settings: AdminSettings) -> Result<(), AdminError> {
     tokio::select! {
-        served = api::serve(settings) => served,
+        result = api::serve(settings) => result,
         () = program::shutdown_signal() => Ok(()),
     }
 }
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -9,14 +9,14 @@
 #[command(name = "hibiscusctl", version)]
 pub struct ControlArguments {
     #[command(flatten)]
-    pub target: TargetArguments,
+    pub api: ApiArguments,
     #[command(subcommand)]
     pub command: ControlCommand,
 }
 
 /// Where and as whom to ask.
 #[derive(Args, Debug)]
-pub struct TargetArguments {
+pub struct ApiArguments {
     /// Address of the administration API.
     #[arg(long, global = true, env = "HIBISCUS_ADMIN", default_value = "http://127.0.0.1:6434")]
     pub admin: String,
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -8,14 +8,14 @@
 use serde::de::DeserializeOwned;
 use snafu::{OptionExt as _, ResultExt as _, Snafu};
 
-use crate::cli::TargetArguments;
+use crate::cli::ApiArguments;
 
 /// Time that a request may take; an apply waits until the document is in force.
-const REQUEST_LIMIT: Duration = Duration::from_secs(20);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// Exit status after a refusal by the API.
-const REFUSED_STATUS: u8 = 3;
+const REJECTED_EXIT_CODE: u8 = 3;
 /// Exit status after a lost race.
-const CONFLICT_STATUS: u8 = 4;
+const CONFLICT_EXIT_CODE: u8 = 4;
 
 /// Errors of a request.
 #[derive(Debug, Snafu)]
@@ -25,59 +25,59 @@
     MissingToken,
     /// The API did not answer; the request may have taken effect.
     #[snafu(display("no answer from {url}: {source}; repeat it with the same --request"))]
-    Unanswered {
+    NoResponse {
         /// Address that was asked.
         url: String,
         /// Cause reported by the HTTP client.
         source: reqwest::Error,
     },
     /// The API refused.
-    #[snafu(display("{}", describe(reply)))]
-    Refused {
+    #[snafu(display("{}", format_error(response)))]
+    Rejected {
         /// Status of the answer.
         status: StatusCode,
         /// Explanation.
-        reply: Box<ErrorResponse>,
+        response: Box<ErrorResponse>,
     },
 }
 
 impl ClientError {
     /// Returns the exit status for the error.
-    pub fn status(&self) -> u8 {
+    pub fn exit_code(&self) -> u8 {
         match self {
-            Self::Refused { status, .. } if *status == StatusCode::CONFLICT => CONFLICT_STATUS,
-            Self::Refused { .. } => REFUSED_STATUS,
-            Self::MissingToken | Self::Unanswered { .. } => 1,
+            Self::Rejected { status, .. } if *status == StatusCode::CONFLICT => CONFLICT_EXIT_CODE,
+            Self::Rejected { .. } => REJECTED_EXIT_CODE,
+            Self::MissingToken | Self::NoResponse { .. } => 1,
         }
     }
 }
 
-fn describe(reply: &ErrorResponse) -> String {
-    let mut text = format!("{}: {}", reply.error, reply.detail);
-    if let Some(head) = &reply.head {
+fn format_error(response: &ErrorResponse) -> String {
+    let mut text = format!("{}: {}", response.error, response.detail);
+    if let Some(head) = &response.head {
         text += &format!("\nin force: revision {} by {}", head.revision, head.operator);
     }
-    if !reply.changes.is_empty() {
+    if !response.changes.is_empty() {
         text += "\nyour document against the one in force:\n";
-        text += crate::show::changes(&reply.changes).trim_end();
+        text += crate::output::format_changes(&response.changes).trim_end();
     }
     text
 }
 
 /// Client of the administration API.
 pub struct AdminClient {
-    base: String,
+    base_url: String,
     token: String,
     client: Client,
 }
 
 impl AdminClient {
     /// Creates a client.
-    pub fn new(target: &TargetArguments) -> Result<Self, ClientError> {
-        let token = target.token.clone().context(MissingTokenSnafu)?;
-        let client = Client::builder().timeout(REQUEST_LIMIT).build();
-        let client = client.context(UnansweredSnafu { url: target.admin.clone() })?;
-        Ok(Self { base: target.admin.trim_end_matches('/').to_owned(), token, client })
+    pub fn new(arguments: &ApiArguments) -> Result<Self, ClientError> {
+        let token = arguments.token.clone().context(MissingTokenSnafu)?;
+        let client = Client::builder().timeout(REQUEST_TIMEOUT).build();
+        let client = client.context(NoResponseSnafu { url: arguments.admin.clone() })?;
+        Ok(Self { base_url: arguments.admin.trim_end_matches('/').to_owned(), token, client })
     }
 
     /// Reads from a path.
@@ -100,24 +100,24 @@
         path: &str,
         body: Option<&B>,
     ) -> Result<T, ClientError> {
-        let url = format!("{}{path}", self.base);
+        let url = format!("{}{path}", self.base_url);
         let mut request = self.client.request(method, &url).bearer_auth(&self.token);
         if let Some(body) = body {
             request = request.json(body);
         }
-        let context = UnansweredSnafu { url: url.clone() };
-        let response = request.send().await.context(context.clone())?;
+        let no_response = NoResponseSnafu { url: url.clone() };
+        let response = request.send().await.context(no_response.clone())?;
         let status = response.status();
         if status.is_success() {
-            return response.json().await.context(context);
+            return response.json().await.context(no_response);
         }
         let text = response.text().await.unwrap_or_default();
-        let reply = serde_json::from_str(&text).unwrap_or_else(|_| ErrorResponse {
+        let error_response = serde_json::from_str(&text).unwrap_or_else(|_| ErrorResponse {
             error: status.to_string(),
             detail: text,
             head: None,
             changes: Vec::new(),
         });
-        RefusedSnafu { status, reply: Box::new(reply) }.fail()
+        RejectedSnafu { status, response: Box::new(error_response) }.fail()
     }
 }
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/commands.rs
@@ -13,10 +13,10 @@
 use crate::cli::{ControlArguments, ControlCommand, KeyCommand, TeamCommand};
 use crate::client::{AdminClient, ClientError};
 use crate::edit::{self, DocumentEdit, EditError};
-use crate::show;
+use crate::output;
 
 /// Attempts at a change of one entry when other operators come first.
-const EDIT_ATTEMPTS: usize = 5;
+const MAX_EDIT_ATTEMPTS: usize = 5;
 
 /// Errors of a command.
 #[derive(Debug, Snafu)]
@@ -49,7 +49,7 @@
     },
     /// The team is not declared.
     #[snafu(display("there is no team {name:?}"))]
-    NoTeam {
+    UnknownTeam {
         /// Name that was looked for.
         name: String,
     },
@@ -63,9 +63,9 @@
 
 impl ControlError {
     /// Returns the exit status for the error.
-    pub fn status(&self) -> u8 {
+    pub fn exit_code(&self) -> u8 {
         match self {
-            Self::Client { source } => source.status(),
+            Self::Client { source } => source.exit_code(),
             Self::Read { .. } | Self::Document { .. } => 2,
             _ => 1,
         }
@@ -74,10 +74,10 @@
 
 /// Carries out a command.
 pub async fn run(arguments: ControlArguments) -> Result<(), ControlError> {
-    let target = &arguments.target;
+    let api_arguments = &arguments.api;
     match arguments.command {
         ControlCommand::Validate { file } => {
-            let text = read(&file)?;
+            let text = read_file(&file)?;
             Document::parse(&text)?;
             println!("{} is valid", file.display());
             Ok(())
@@ -89,71 +89,71 @@
             println!("{}", KeyHash::generate(line.trim()));
             Ok(())
         }
-        command => run_remote(&AdminClient::new(target)?, command).await,
+        command => run_remote(&AdminClient::new(api_arguments)?, command).await,
     }
 }
 
 async fn run_remote(client: &AdminClient, command: ControlCommand) -> Result<(), ControlError> {
     match command {
         ControlCommand::Plan { file } => {
-            let body = DocumentRequest { text: read(&file)? };
+            let body = DocumentRequest { text: read_file(&file)? };
             let plan: PlanResponse = client.post("/v1/plan", &body).await?;
-            print!("against revision {}\n{}", plan.revision, show::changes(&plan.changes));
+            print!("against revision {}\n{}", plan.revision, output::format_changes(&plan.changes));
         }
         ControlCommand::Apply { file, expect, request } => {
-            let text = read(&file)?;
+            let text = read_file(&file)?;
             Document::parse(&text)?;
-            let expected_revision = expected_revision(client, expect).await?;
+            let expected_revision = resolve_expected_revision(client, expect).await?;
             let request_id = request.unwrap_or_else(new_request_id);
             eprintln!("request {request_id}");
             let body = ApplyRequest { expected_revision, text, request_id };
-            show_applied(&client.post("/v1/document", &body).await?);
+            print_applied(&client.post("/v1/document", &body).await?);
         }
         ControlCommand::Promote { digest, expect, request } => {
-            let expected_revision = expected_revision(client, expect).await?;
+            let expected_revision = resolve_expected_revision(client, expect).await?;
             let request_id = request.unwrap_or_else(new_request_id);
             eprintln!("request {request_id}");
             let body = PromoteRequest { expected_revision, digest, request_id };
-            show_applied(&client.post("/v1/promote", &body).await?);
+            print_applied(&client.post("/v1/promote", &body).await?);
         }
         ControlCommand::Status { json } => {
             let status: StatusResponse = client.get("/v1/status").await?;
             if json {
                 println!("{}", serde_json::to_string_pretty(&status)?);
             } else {
-                print!("{}", show::status(&status));
+                print!("{}", output::format_status(&status));
             }
         }
         ControlCommand::Show => {
             let document: DocumentResponse = client.get("/v1/document").await?;
             print!("{}", document.text);
         }
-        ControlCommand::Team(command) => change(client, team_edit(command)).await?,
-        ControlCommand::Key(command) => run_key(client, command).await?,
+        ControlCommand::Team(command) => edit_document(client, team_edit(command)).await?,
+        ControlCommand::Key(command) => run_key_command(client, command).await?,
         ControlCommand::Drain { database, undo } => {
-            change(client, DocumentEdit::SetLeaving { database, leaving: !undo }).await?;
+            edit_document(client, DocumentEdit::SetLeaving { database, leaving: !undo }).await?;
         }
         ControlCommand::Validate { .. } => {}
     }
     Ok(())
 }
 
-async fn run_key(client: &AdminClient, command: KeyCommand) -> Result<(), ControlError> {
+async fn run_key_command(client: &AdminClient, command: KeyCommand) -> Result<(), ControlError> {
     match command {
         KeyCommand::Grant { team } => {
             let key = generate_key();
             let hash = KeyHash::generate(&key);
-            change(client, DocumentEdit::AddKey { team, hash }).await?;
+            edit_document(client, DocumentEdit::AddKey { team, hash }).await?;
             println!("key {key}\nfingerprint {}", hash.fingerprint());
         }
         KeyCommand::Withdraw { team, fingerprint } => {
-            change(client, DocumentEdit::RemoveKey { team, fingerprint }).await?;
+            edit_document(client, DocumentEdit::RemoveKey { team, fingerprint }).await?;
         }
         KeyCommand::List { team } => {
-            let reply: DocumentResponse = client.get("/v1/document").await?;
-            let document = Document::parse(&reply.text)?;
+            let current: DocumentResponse = client.get("/v1/document").await?;
+            let document = Document::parse(&current.text)?;
             let found = document.teams.iter().find(|section| section.name == team);
-            let section = found.context(NoTeamSnafu { name: team })?;
+            let section = found.context(UnknownTeamSnafu { name: team })?;
             section.keys.iter().for_each(|key| println!("{}", key.fingerprint()));
         }
         KeyCommand::Hash => {}
@@ -164,36 +164,41 @@
 fn team_edit(command: TeamCommand) -> DocumentEdit {
     match command {
         TeamCommand::Create { name, rate, burst } => DocumentEdit::AddTeam { name, rate, burst },
-        TeamCommand::Limit { name, rate, burst } => DocumentEdit::LimitTeam { name, rate, burst },
+        TeamCommand::Limit { name, rate, burst } => {
+            DocumentEdit::SetTeamLimits { name, rate, burst }
+        }
         TeamCommand::Remove { name } => DocumentEdit::RemoveTeam { name },
     }
 }
 
 /// Changes one entry of the document in force, again if another operator came first.
-async fn change(client: &AdminClient, edit: DocumentEdit) -> Result<(), ControlError> {
+async fn edit_document(client: &AdminClient, edit: DocumentEdit) -> Result<(), ControlError> {
     let mut attempt = 1;
     loop {
         let current: DocumentResponse = client.get("/v1/document").await?;
-        let text = edit::apply(&current.text, &edit)?;
+        let text = edit::apply_edit(&current.text, &edit)?;
         Document::parse(&text)?;
         let expected_revision = current.head.map_or(0, |head| head.revision);
         let body = ApplyRequest { expected_revision, text, request_id: new_request_id() };
         match client.post::<_, ApplyResponse>("/v1/document", &body).await {
-            Err(error) if error.status() == 4 && attempt < EDIT_ATTEMPTS => attempt += 1,
+            Err(error) if error.exit_code() == 4 && attempt < MAX_EDIT_ATTEMPTS => attempt += 1,
             other => {
-                show_applied(&other?);
+                print_applied(&other?);
                 return Ok(());
             }
         }
     }
 }
 
-fn show_applied(reply: &ApplyResponse) {
-    print!("{}{}", show::head(&reply.head), show::force(&reply.rollout));
+fn print_applied(response: &ApplyResponse) {
+    print!("{}{}", output::format_head(&response.head), output::format_rollout(&response.rollout));
 }
 
-async fn expected_revision(client: &AdminClient, given: Option<u64>) -> Result<u64, ControlError> {
-    if let Some(revision) = given {
+async fn resolve_expected_revision(
+    client: &AdminClient,
+    explicit: Option<u64>,
+) -> Result<u64, ControlError> {
+    if let Some(revision) = explicit {
         return Ok(revision);
     }
     let status: StatusResponse = client.get("/v1/status").await?;
@@ -204,6 +209,6 @@
     format!("{:016x}", rand::random::<u64>())
 }
 
-fn read(path: &Path) -> Result<String, ControlError> {
+fn read_file(path: &Path) -> Result<String, ControlError> {
     std::fs::read_to_string(path).context(ReadSnafu { path })
 }
--- a/crates/ctl/src/edit.rs
+++ b/crates/ctl/src/edit.rs
@@ -15,7 +15,7 @@
     },
     /// There is no such entry.
     #[snafu(display("there is no {section} {name:?}"))]
-    Missing {
+    NotFound {
         /// Section of the entry.
         section: &'static str,
         /// Name of the entry.
@@ -23,7 +23,7 @@
     },
     /// There is such an entry already.
     #[snafu(display("there is a {section} {name:?} already"))]
-    Present {
+    AlreadyExists {
         /// Section of the entry.
         section: &'static str,
         /// Name of the entry.
@@ -37,7 +37,7 @@
     /// Adds a team.
     AddTeam { name: String, rate: f64, burst: f64 },
     /// Sets the limits of a team.
-    LimitTeam { name: String, rate: f64, burst: f64 },
+    SetTeamLimits { name: String, rate: f64, burst: f64 },
     /// Removes a team.
     RemoveTeam { name: String },
     /// Adds a key hash to a team.
@@ -49,24 +49,24 @@
 }
 
 /// Applies a change to the text of a document.
-pub fn apply(text: &str, edit: &DocumentEdit) -> Result<String, EditError> {
+pub fn apply_edit(text: &str, edit: &DocumentEdit) -> Result<String, EditError> {
     let mut document: DocumentMut = text.parse().context(SyntaxSnafu)?;
     match edit {
         DocumentEdit::AddTeam { name, rate, burst } => {
             add_team(&mut document, name, *rate, *burst)?;
         }
-        DocumentEdit::LimitTeam { name, rate, burst } => {
-            let team = entry(&mut document, "team", name)?;
+        DocumentEdit::SetTeamLimits { name, rate, burst } => {
+            let team = find_entry(&mut document, "team", name)?;
             team["rate"] = value(*rate);
             team["burst"] = value(*burst);
         }
         DocumentEdit::RemoveTeam { name } => {
-            entry(&mut document, "team", name)?;
-            let teams = tables(&mut document, "team");
-            teams.retain(|team| !is_named(team, name));
+            find_entry(&mut document, "team", name)?;
+            let teams = section_entries(&mut document, "team");
+            teams.retain(|team| !has_name(team, name));
         }
         DocumentEdit::AddKey { team, hash } => {
-            let keys = entry(&mut document, "team", team)?.entry("keys");
+            let keys = find_entry(&mut document, "team", team)?.entry("keys");
             let keys = keys.or_insert(value(toml_edit::Array::new()));
             if let Some(keys) = keys.as_array_mut() {
                 keys.push(hash.to_string());
@@ -76,7 +76,7 @@
             remove_key(&mut document, team, fingerprint)?;
         }
         DocumentEdit::SetLeaving { database, leaving } => {
-            entry(&mut document, "database", database)?["leaving"] = value(*leaving);
+            find_entry(&mut document, "database", database)?["leaving"] = value(*leaving);
         }
     }
     Ok(document.to_string())
@@ -88,34 +88,34 @@
     rate: f64,
     burst: f64,
 ) -> Result<(), EditError> {
-    if entry(document, "team", name).is_ok() {
-        return PresentSnafu { section: "team", name }.fail();
+    if find_entry(document, "team", name).is_ok() {
+        return AlreadyExistsSnafu { section: "team", name }.fail();
     }
     let mut team = Table::new();
     team["name"] = value(name);
     team["rate"] = value(rate);
     team["burst"] = value(burst);
-    tables(document, "team").push(team);
+    section_entries(document, "team").push(team);
     Ok(())
 }
 
 fn remove_key(document: &mut DocumentMut, team: &str, fingerprint: &str) -> Result<(), EditError> {
-    let missing = MissingSnafu { section: "key", name: fingerprint };
-    let keys = entry(document, "team", team)?.get_mut("keys").and_then(Item::as_array_mut);
-    let keys = keys.context(missing)?;
+    let not_found = NotFoundSnafu { section: "key", name: fingerprint };
+    let keys = find_entry(document, "team", team)?.get_mut("keys").and_then(Item::as_array_mut);
+    let keys = keys.context(not_found)?;
     let matches = |key: &Value| {
         let hash: Option<KeyHash> = key.as_str().and_then(|text| text.parse().ok());
         hash.is_some_and(|hash| hash.fingerprint() == fingerprint)
     };
-    let before = keys.len();
+    let old_count = keys.len();
     keys.retain(|key| !matches(key));
-    if keys.len() == before {
-        return missing.fail();
+    if keys.len() == old_count {
+        return not_found.fail();
     }
     Ok(())
 }
 
-fn tables<'a>(document: &'a mut DocumentMut, section: &str) -> &'a mut ArrayOfTables {
+fn section_entries<'a>(document: &'a mut DocumentMut, section: &str) -> &'a mut ArrayOfTables {
     let item = document.entry(section).or_insert(Item::ArrayOfTables(ArrayOfTables::new()));
     if !item.is_array_of_tables() {
         *item = Item::ArrayOfTables(ArrayOfTables::new());
@@ -123,15 +123,15 @@
     item.as_array_of_tables_mut().expect("the item was made an array of tables")
 }
 
-fn entry<'a>(
+fn find_entry<'a>(
     document: &'a mut DocumentMut,
     section: &'static str,
     name: &str,
 ) -> Result<&'a mut Table, EditError> {
-    let found = tables(document, section).iter_mut().find(|table| is_named(table, name));
-    found.context(MissingSnafu { section, name })
+    let found = section_entries(document, section).iter_mut().find(|table| has_name(table, name));
+    found.context(NotFoundSnafu { section, name })
 }
 
-fn is_named(table: &Table, name: &str) -> bool {
+fn has_name(table: &Table, name: &str) -> bool {
     table.get("name").and_then(Item::as_str) == Some(name)
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -2,9 +2,9 @@
 
 mod cli;
 mod client;
+mod commands;
 mod edit;
-mod run;
-mod show;
+mod output;
 
 use std::process::ExitCode;
 
@@ -15,11 +15,11 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let arguments = ControlArguments::parse();
-    match run::run(arguments).await {
+    match commands::run(arguments).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("hibiscusctl: {error}");
-            ExitCode::from(error.status())
+            ExitCode::from(error.exit_code())
         }
     }
 }
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/output.rs
@@ -8,7 +8,7 @@
 use net::store::DocumentHead;
 
 /// Describes changes, one entry a line.
-pub fn changes(changes: &[EntryChange]) -> String {
+pub fn format_changes(changes: &[EntryChange]) -> String {
     let mut text = String::new();
     for EntryChange { section, name, change } in changes {
         match change {
@@ -27,30 +27,30 @@
 }
 
 /// Describes a revision.
-pub fn head(head: &DocumentHead) -> String {
+pub fn format_head(head: &DocumentHead) -> String {
     format!("revision {} by {}\ndigest {}\n", head.revision, head.operator, head.digest)
 }
 
 /// Describes where a revision is in force.
-pub fn force(force: &RolloutReport) -> String {
+pub fn format_rollout(rollout: &RolloutReport) -> String {
     let state =
-        if force.everywhere { "in force everywhere" } else { "NOT YET in force everywhere" };
-    let mut text = format!("{state} after {} ms\n", force.time_ms);
-    _ = writeln!(text, "confirmed by {}", list(&force.confirmed));
-    if !force.expired.is_empty() {
-        _ = writeln!(text, "silent, older document run out: {}", list(&force.expired));
+        if rollout.everywhere { "in force everywhere" } else { "NOT YET in force everywhere" };
+    let mut text = format!("{state} after {} ms\n", rollout.time_ms);
+    _ = writeln!(text, "confirmed by {}", join_names(&rollout.confirmed));
+    if !rollout.expired.is_empty() {
+        _ = writeln!(text, "silent, older document run out: {}", join_names(&rollout.expired));
     }
     text
 }
 
 /// Describes an environment.
-pub fn status(status: &StatusResponse) -> String {
+pub fn format_status(status: &StatusResponse) -> String {
     let mut text = format!("environment {}\n", status.environment);
     match &status.head {
-        Some(found) => text += &head(found),
+        Some(head) => text += &format_head(head),
         None => text += "no document yet\n",
     }
-    status.instances.iter().for_each(|instance| text += &instance_line(instance));
+    status.instances.iter().for_each(|instance| text += &format_instance(instance));
     let report = status.instances.iter().find_map(|instance| instance.report.as_ref());
     for member in report.iter().flat_map(|report| &report.members) {
         let age = member.age_ms.map_or("-".to_owned(), |age| format!("{age} ms"));
@@ -69,7 +69,7 @@
     text
 }
 
-fn instance_line(instance: &InstanceView) -> String {
+fn format_instance(instance: &InstanceView) -> String {
     let leaving = if instance.leaving { " leaving" } else { "" };
     match &instance.report {
         None => format!("instance {} in {}{leaving}: no answer\n", instance.name, instance.zone),
@@ -86,6 +86,6 @@
     }
 }
 
-fn list(names: &[String]) -> String {
+fn join_names(names: &[String]) -> String {
     if names.is_empty() { "nobody".to_owned() } else { names.join(", ") }
 }
--- a/tools/codegen/src/main.rs
+++ b/tools/codegen/src/main.rs
@@ -32,7 +32,7 @@
     std::fs::create_dir_all(&directory)?;
     let generated = generate(&workspace, &directory);
     let committed = workspace.join(COMMITTED_FILE);
-    let same = generated.and_then(|text| {
+    let up_to_date = generated.and_then(|text| {
         if check {
             return Ok(std::fs::read_to_string(&committed)? == text);
         }
@@ -40,7 +40,7 @@
         Ok(true)
     });
     std::fs::remove_dir_all(&directory)?;
-    same
+    up_to_date
 }
 
 fn generate(workspace: &Path, directory: &Path) -> Result<String, Box<dyn Error>> {
