--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -1,4 +1,4 @@
-//! HTTP interface of the administration API.
+//! HTTP routes, requests and responses of the administration API.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,16 +24,16 @@
 use crate::instances::{self, InstanceView, RolloutReport};
 use crate::settings::{AdminSettings, OperatorCredential};
 
-/// Time that an operation on the platform's services may take.
+/// Timeout of an operation on the platform's services.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Errors of the API's start.
+/// Error of starting or serving the API.
 #[derive(Debug, Snafu)]
 pub enum AdminError {
-    /// The address cannot be listened on or served.
+    /// The listener cannot be bound or fails.
     #[snafu(display("cannot serve on {address}: {source}"))]
     Serve {
-        /// Address that was tried.
+        /// Address to listen on.
         address: SocketAddr,
         /// Cause reported by the system.
         source: std::io::Error,
@@ -46,98 +46,98 @@
     },
 }
 
-/// Request that carries a document.
+/// Request to validate a document or to plan its application.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DocumentRequest {
-    /// Text of the document.
+    /// Text of the document in TOML.
     pub text: String,
 }
 
-/// Request to replace the document.
+/// Request to replace the document in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ApplyRequest {
-    /// Revision that the change rests on; zero for none.
+    /// Revision that must be in force for the change to be accepted; zero for no document.
     #[serde(rename = "expected")]
     pub expected_revision: u64,
-    /// Text of the document.
+    /// Text of the document in TOML.
     pub text: String,
-    /// Identifier by which a repeated request is recognised.
+    /// Identifier that makes the request idempotent; a retry carries the same one.
     #[serde(rename = "request")]
     pub request_id: String,
 }
 
-/// Request to promote a document from the environment before this one.
+/// Request to put a document into force that was in force in the source environment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PromoteRequest {
-    /// Revision that the change rests on; zero for none.
+    /// Revision that must be in force for the change to be accepted; zero for no document.
     #[serde(rename = "expected")]
     pub expected_revision: u64,
     /// Digest of the document to promote.
     pub digest: String,
-    /// Identifier by which a repeated request is recognised.
+    /// Identifier that makes the request idempotent; a retry carries the same one.
     #[serde(rename = "request")]
     pub request_id: String,
 }
 
-/// Document with its head.
+/// Document in force with its head.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DocumentResponse {
-    /// Head of the revision; none before the first document.
+    /// Head of the revision; `None` before the first document.
     pub head: Option<DocumentHead>,
-    /// Text of the document.
+    /// Text of the document in TOML.
     pub text: String,
 }
 
-/// What a document would change.
+/// Changes that a document would make.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PlanResponse {
-    /// Revision in force, zero for none.
+    /// Revision in force; zero before the first document.
     pub revision: u64,
-    /// Changes against the document in force.
+    /// Changes from the document in force to the one in the request.
     pub changes: Vec<EntryChange>,
 }
 
-/// Answer to an accepted change.
+/// Response to an accepted change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ApplyResponse {
-    /// Head of the revision that was made.
+    /// Head of the new revision.
     pub head: DocumentHead,
-    /// Where the revision is in force.
+    /// Rollout of the revision to the instances.
     #[serde(rename = "force")]
     pub rollout: RolloutReport,
 }
 
-/// Explanation of a refusal.
+/// Body of an error response.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// Short name of the refusal.
+    /// Code of the error, for programs.
     pub error: String,
-    /// Explanation.
+    /// Description of the error, for operators.
     pub detail: String,
-    /// Head in force, if a race was lost.
+    /// Head in force, if its revision is not the expected one.
     #[serde(default)]
     pub head: Option<DocumentHead>,
-    /// Changes that the refused document would make to the one in force.
+    /// Changes that the rejected document would make to the one in force.
     #[serde(default)]
     pub changes: Vec<EntryChange>,
 }
 
-/// State of the environment.
+/// State of an environment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StatusResponse {
     /// Name of the environment.
     pub environment: String,
-    /// Head in force, none before the first document.
+    /// Head in force; `None` before the first document.
     pub head: Option<DocumentHead>,
-    /// Instances that the platform lists, with what they report.
+    /// Instances that the platform lists, with their reports.
     pub instances: Vec<InstanceView>,
 }
 
-/// Name of the operator who sent a request.
+/// Name of the authenticated operator, attached to a request.
 #[derive(Clone, Debug)]
 struct OperatorName(String);
 
-/// State of the API.
+/// State shared by all request handlers.
 pub struct AdminService {
     settings: AdminSettings,
     platform: PlatformClient,
@@ -145,7 +145,7 @@
 
 type ServiceState = State<Arc<AdminService>>;
 
-/// Refusal of an API request.
+/// Error of a request, returned as an error response.
 struct ApiError {
     status: StatusCode,
     body: Box<ErrorResponse>,
@@ -177,14 +177,14 @@
 
 type ApiResult<T> = Result<Json<T>, ApiError>;
 
-/// Opens the listener and serves until the task ends.
+/// Binds the listener and serves the API until the future is dropped.
 pub async fn serve(settings: AdminSettings) -> Result<(), AdminError> {
     let address = settings.listen;
     let listener = TcpListener::bind(address).await.context(ServeSnafu { address })?;
     serve_on(listener, settings).await
 }
 
-/// Serves on an open listener until the task ends.
+/// Serves the API on a bound listener until the future is dropped.
 pub async fn serve_on(listener: TcpListener, settings: AdminSettings) -> Result<(), AdminError> {
     let address = settings.listen;
     let platform = PlatformClient::new(settings.platform.clone(), PLATFORM_TIMEOUT)?;
@@ -215,7 +215,7 @@
         token.is_some_and(|token| operator.token_hash.matches(token))
     };
     let Some(operator) = service.settings.operators.iter().find(has_token) else {
-        let detail = "an operator's token is required";
+        let detail = "the request carries no valid operator token";
         let status = StatusCode::UNAUTHORIZED;
         return ApiError::new(status, "unauthorized", detail).into_response();
     };
@@ -251,7 +251,7 @@
 ) -> ApiResult<ApplyResponse> {
     parse_document(&body.text)?;
     if let Some(source) = &service.settings.promote_from {
-        let detail = format!("this environment takes documents only by promotion from {source:?}");
+        let detail = format!("documents are accepted only by promotion from {source:?}");
         return Err(ApiError::new(StatusCode::FORBIDDEN, "promotion_only", detail));
     }
     service.replace_document(body.expected_revision, &body.text, &body.request_id, &operator).await
@@ -263,12 +263,13 @@
     Json(body): Json<PromoteRequest>,
 ) -> ApiResult<ApplyResponse> {
     let Some(source) = &service.settings.promote_from else {
-        let detail = "this environment has none before it";
+        let detail = "promotion is disabled: no source environment is configured";
         return Err(ApiError::new(StatusCode::FORBIDDEN, "no_trial", detail));
     };
     let source_store = DocumentStore::new(&service.platform, source);
     if !source_store.was_in_force(&body.digest).await? {
-        let detail = format!("document {} was never in force in {source:?}", body.digest);
+        let detail =
+            format!("document {} was never in force in environment {source:?}", body.digest);
         return Err(ApiError::new(StatusCode::CONFLICT, "never_tried", detail));
     }
     let head = DocumentHead {
@@ -332,7 +333,7 @@
                 );
                 let plan = self.plan(&parse_document(text)?).await?;
                 let detail = format!(
-                    "revision {expected_revision} was expected, {current_revision} is in force"
+                    "expected revision {expected_revision}, but {current_revision} is in force"
                 );
                 let mut error = ApiError::new(StatusCode::CONFLICT, "conflict", detail);
                 error.body.head = Some(head);
--- a/crates/admin/src/diff.rs
+++ b/crates/admin/src/diff.rs
@@ -1,4 +1,4 @@
-//! Differences between two documents, in the words of an operator.
+//! Comparison of two documents, entry by entry, as operators read it.
 
 use std::collections::BTreeMap;
 
@@ -6,30 +6,30 @@
 use state::credential::KeyHash;
 use state::document::Document;
 
-/// Change of one entry.
+/// Change of one entry of a document.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct EntryChange {
-    /// Section of the entry.
+    /// Section of the entry: `team`, `database` or `route`.
     pub section: String,
     /// Name of the entry.
     pub name: String,
-    /// What happens to the entry.
+    /// Kind of the change.
     pub change: ChangeKind,
 }
 
-/// What happens to an entry.
+/// Kind of a change.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ChangeKind {
-    /// The entry is new.
+    /// The entry is added.
     Added,
-    /// The entry goes.
+    /// The entry is removed.
     Removed,
-    /// The entry changes; each line names a field with its old and new value.
+    /// The entry is changed; each line names a field with its old and its new value.
     Changed(Vec<String>),
 }
 
-/// Lists the changes that lead from `before` to `after`.
+/// Returns the changes that turn `before` into `after`.
 pub fn compare_documents(before: &Document, after: &Document) -> Vec<EntryChange> {
     let mut changes = Vec::new();
     compare_section(&mut changes, "team", &before.teams, &after.teams, |team| &team.name);
@@ -79,7 +79,7 @@
         .collect()
 }
 
-/// Shows a value; key hashes appear as the fingerprints by which operators name them.
+/// Formats a value. Key hashes become the fingerprints by which operators refer to keys.
 fn format_value(value: &serde_json::Value) -> String {
     match value {
         serde_json::Value::Array(items) => {
--- a/crates/admin/src/instances.rs
+++ b/crates/admin/src/instances.rs
@@ -1,4 +1,4 @@
-//! What the instances of an environment report, and when a revision is in force on all of them.
+//! Reports of the instances of an environment, and the rollout of a revision to all of them.
 
 use std::time::Duration;
 
@@ -10,14 +10,15 @@
 use wire::peer::{Announcement, ReportReply, ReportRequest};
 use wire::platform::{InstanceRecord, InstanceState};
 
-/// Time that one instance has for its report.
-const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Interval between two rounds of questions while a revision spreads.
-const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time after which an instance that does not answer has stopped to act on older documents.
+/// Timeout of a call to an instance.
+const INSTANCE_CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause between two rounds of announcements to the instances that have not confirmed a revision.
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(50);
+/// Time after which an instance that does not respond no longer acts on an older document: the
+/// validity of its last validation and a margin.
 const ROLLOUT_TIMEOUT: Duration = VALIDATION_TTL.saturating_add(Duration::from_millis(250));
 
-/// Member of a database as an instance sees it.
+/// Member of a database as one instance sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberView {
     /// Name of the database.
@@ -26,74 +27,74 @@
     pub member: String,
     /// Availability zone of the member.
     pub zone: String,
-    /// Role: P for primary, R for replica, F for fenced.
+    /// Role: `P` for primary, `R` for replica, `F` for fenced.
     pub role: String,
     /// Term of the member.
     pub term: u64,
-    /// Last applied index.
+    /// Index of the last applied log entry.
     pub applied: u64,
-    /// Tells that the member answers the instance.
+    /// Whether the instance reaches the member.
     pub reachable: bool,
-    /// Greatest age of the member's data in milliseconds.
+    /// Upper bound on the staleness of the member's data in milliseconds; `None` if unknown.
     pub age_ms: Option<u64>,
 }
 
-/// Share of a team on an instance.
+/// Share of a team's rate and burst that an instance holds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ShareView {
     /// Name of the team.
     pub team: String,
-    /// Parts of a million.
+    /// Share in millionths.
     pub share: u64,
 }
 
-/// Instance with what it reports.
+/// Instance that the platform lists, with its report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct InstanceView {
     /// Name of the instance.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Tells that the platform lists the instance as leaving.
+    /// Whether the platform lists the instance as leaving.
     pub leaving: bool,
-    /// Report; none if the instance does not answer.
+    /// Report; `None` if the instance did not respond.
     pub report: Option<InstanceReport>,
 }
 
-/// Report of an instance.
+/// State that an instance reports.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct InstanceReport {
-    /// Revision in force.
+    /// Revision of the document in force on the instance.
     pub revision: u64,
     /// Epoch of the allotment ledger.
     pub epoch: u64,
-    /// Tells that the table service does not answer the instance.
+    /// Whether the table service does not respond to the instance.
     pub store_down: bool,
-    /// Phase of the instance.
+    /// Phase of the instance's life cycle.
     pub phase: String,
-    /// Callers connected.
+    /// Number of connected callers.
     pub callers: u64,
-    /// Members of the databases.
+    /// Members of all databases.
     pub members: Vec<MemberView>,
-    /// Shares of the teams.
+    /// Shares of all teams.
     pub shares: Vec<ShareView>,
 }
 
-/// Where a revision is in force.
+/// Progress of the rollout of a revision to the instances of an environment.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RolloutReport {
-    /// Tells that no listed instance acts on an older document any more.
+    /// Whether no listed instance acts on an older document any more.
     pub everywhere: bool,
-    /// Instances that confirmed the revision.
+    /// Names of the instances that confirmed the revision or a later one.
     pub confirmed: Vec<String>,
-    /// Instances that did not answer, whose older document has run out.
+    /// Names of the instances that did not respond and whose older document has expired.
     #[serde(rename = "run_out")]
     pub expired: Vec<String>,
-    /// Time until the revision was in force, in milliseconds.
+    /// Time waited for the rollout, in milliseconds.
     pub time_ms: u64,
 }
 
-/// Asks every listed instance for its report.
+/// Requests the reports of all listed instances at once. Returns them sorted by name.
 pub async fn collect_reports(records: &[InstanceRecord]) -> Vec<InstanceView> {
     let mut calls = JoinSet::new();
     for record in records.iter().cloned() {
@@ -112,7 +113,9 @@
     views
 }
 
-/// Waits until every listed instance has confirmed a revision or can act on no older one.
+/// Waits until every listed instance has confirmed a revision, at most for `ROLLOUT_TIMEOUT`.
+///
+/// An instance that does not respond after that time no longer acts on an older document.
 pub async fn wait_for_rollout(records: &[InstanceRecord], revision: u64) -> RolloutReport {
     let start = Instant::now();
     let mut report = RolloutReport::default();
@@ -133,10 +136,11 @@
             }
         }
         if !pending.is_empty() {
-            sleep(POLL_INTERVAL).await;
+            sleep(ANNOUNCEMENT_DELAY).await;
         }
     }
-    // An instance that answers with an older revision acts on it; one that is silent cannot.
+    // An instance that responds with an older revision still acts on it. One that does not respond
+    // cannot: an older document is not validated any more, and its last validation has expired.
     for record in pending {
         if request_report(&record).await.is_none() {
             report.expired.push(record.name);
@@ -151,13 +155,13 @@
 async fn announce_revision(record: &InstanceRecord, revision: u64) -> bool {
     let announcement = Announcement { revision, epoch: 0, source: String::new() };
     let mut handle = peer::connect_lazy(record.peer);
-    let reply = timeout(REPORT_TIMEOUT, handle.announce(announcement)).await;
+    let reply = timeout(INSTANCE_CALL_TIMEOUT, handle.announce(announcement)).await;
     matches!(reply, Ok(Ok(reply)) if reply.get_ref().revision >= revision)
 }
 
 async fn request_report(record: &InstanceRecord) -> Option<ReportReply> {
     let mut handle = peer::connect_lazy(record.peer);
-    let reply = timeout(REPORT_TIMEOUT, handle.report(ReportRequest {})).await.ok()?;
+    let reply = timeout(INSTANCE_CALL_TIMEOUT, handle.report(ReportRequest {})).await.ok()?;
     reply.ok().map(tonic::Response::into_inner)
 }
 
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,4 +1,4 @@
-//! Administration API: one document per environment, changed by conditional writes.
+//! Administration API, which replaces the document of one environment by conditional writes.
 
 pub mod api;
 pub mod diff;
--- a/crates/admin/src/main.rs
+++ b/crates/admin/src/main.rs
@@ -1,4 +1,4 @@
-//! `hibiscus-admin`: the administration API.
+//! Program `hibiscus-admin`, which serves the administration API.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 
 const PROGRAM: &str = "hibiscus-admin";
 
-/// Administration API of an environment.
+/// Serves the administration API of an environment.
 #[derive(Debug, Parser)]
 #[command(name = PROGRAM, version)]
 struct AdminArguments {
--- a/crates/admin/src/settings.rs
+++ b/crates/admin/src/settings.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use state::credential::KeyHash;
 
-/// Operator who may use the API.
+/// Operator that the API authenticates by a bearer token.
 #[derive(Clone, Debug)]
 pub struct OperatorCredential {
     /// Name of the operator.
@@ -28,19 +28,20 @@
 /// Settings of the administration API.
 #[derive(Args, Clone, Debug)]
 pub struct AdminSettings {
-    /// Address of the API.
+    /// Address that the API listens on.
     #[arg(long, env = "HIBISCUS_ADMIN_LISTEN", default_value = "127.0.0.1:6434")]
     pub listen: SocketAddr,
-    /// Environment that the API changes.
+    /// Environment whose document the API changes.
     #[arg(long, env = "HIBISCUS_ENVIRONMENT", default_value = "production")]
     pub environment: String,
-    /// Environment whose documents may be promoted into this one; absent allows direct changes.
+    /// Environment whose documents may be promoted into this one; without it, documents are applied
+    /// directly.
     #[arg(long, env = "HIBISCUS_PROMOTE_FROM")]
     pub promote_from: Option<String>,
-    /// Address of the platform's services.
+    /// Base URL of the platform's services.
     #[arg(long, env = "HIBISCUS_PLATFORM")]
     pub platform: String,
-    /// Operator: NAME=sha256$SALT$DIGEST; may be given several times.
+    /// Name of an operator and the salted hash of its token, NAME=sha256$SALT$DIGEST; repeatable.
     #[arg(long = "operator", env = "HIBISCUS_OPERATORS", value_delimiter = ',')]
     pub operators: Vec<OperatorCredential>,
 }
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -1,10 +1,10 @@
-//! Command line.
+//! Command line arguments.
 
 use std::path::PathBuf;
 
 use clap::{Args, Parser, Subcommand};
 
-/// Command line over the administration API.
+/// Command line client of the administration API.
 #[derive(Debug, Parser)]
 #[command(name = "hibiscusctl", version)]
 pub struct ControlArguments {
@@ -14,98 +14,98 @@
     pub command: ControlCommand,
 }
 
-/// Where and as whom to ask.
+/// Address of the administration API and the credential for it.
 #[derive(Args, Debug)]
 pub struct ApiArguments {
-    /// Address of the administration API.
+    /// Base URL of the administration API.
     #[arg(long, global = true, env = "HIBISCUS_ADMIN", default_value = "http://127.0.0.1:6434")]
     pub admin: String,
-    /// Operator's token.
+    /// Token of the operator.
     #[arg(long, global = true, env = "HIBISCUS_OPERATOR_TOKEN", hide_env_values = true)]
     pub token: Option<String>,
 }
 
-/// What to do.
+/// Command to run.
 #[derive(Debug, Subcommand)]
 pub enum ControlCommand {
-    /// Checks a document without an API.
+    /// Validates a document locally.
     Validate {
-        /// File of the document.
+        /// Path of the document.
         file: PathBuf,
     },
-    /// Shows what a document would change.
+    /// Shows the changes that a document would make.
     Plan {
-        /// File of the document.
+        /// Path of the document.
         file: PathBuf,
     },
-    /// Puts a document into force.
+    /// Puts a document into force and waits for its rollout.
     Apply {
-        /// File of the document.
+        /// Path of the document.
         file: PathBuf,
-        /// Revision that the change rests on; the one in force if absent.
+        /// Revision that must be in force; by default the one in force when the command starts.
         #[arg(long)]
         expect: Option<u64>,
-        /// Identifier of the request; repeat it after a lost answer.
+        /// Identifier of the request; give the same one to retry after a lost response.
         #[arg(long)]
         request: Option<String>,
     },
-    /// Puts a document into force that was in force in the environment before this one.
+    /// Puts a document into force that was in force in the source environment.
     Promote {
-        /// Digest of the document, as `status` shows it there.
+        /// Digest of the document, as `status` shows it in the source environment.
         digest: String,
-        /// Revision that the change rests on; the one in force if absent.
+        /// Revision that must be in force; by default the one in force when the command starts.
         #[arg(long)]
         expect: Option<u64>,
-        /// Identifier of the request; repeat it after a lost answer.
+        /// Identifier of the request; give the same one to retry after a lost response.
         #[arg(long)]
         request: Option<String>,
     },
-    /// Shows the environment.
+    /// Shows the document revision, the instances and the members of the environment.
     Status {
-        /// Shows the answer as JSON.
+        /// Prints the status as JSON.
         #[arg(long)]
         json: bool,
     },
     /// Prints the document in force.
     Show,
-    /// Creates and changes teams.
+    /// Creates, limits and removes teams.
     #[command(subcommand)]
     Team(TeamCommand),
-    /// Grants and withdraws keys.
+    /// Grants, revokes, lists and hashes keys.
     #[command(subcommand)]
     Key(KeyCommand),
-    /// Lets a database leave, or takes it back.
+    /// Marks a database as leaving, so that no instance starts new work on it.
     Drain {
         /// Name of the database.
         database: String,
-        /// Takes the database back.
+        /// Clears the mark.
         #[arg(long)]
         undo: bool,
     },
 }
 
-/// Changes of teams.
+/// Commands for teams.
 #[derive(Debug, Subcommand)]
 pub enum TeamCommand {
     /// Creates a team.
     Create {
         /// Name of the team.
         name: String,
-        /// Statements a second over all instances.
+        /// Rate limit in statements per second over all instances.
         #[arg(long)]
         rate: f64,
-        /// Statements at once after a pause, over all instances.
+        /// Burst limit in statements over all instances.
         #[arg(long)]
         burst: f64,
     },
-    /// Sets the limits of a team.
+    /// Sets the rate and burst limits of a team.
     Limit {
         /// Name of the team.
         name: String,
-        /// Statements a second over all instances.
+        /// Rate limit in statements per second over all instances.
         #[arg(long)]
         rate: f64,
-        /// Statements at once after a pause, over all instances.
+        /// Burst limit in statements over all instances.
         #[arg(long)]
         burst: f64,
     },
@@ -116,15 +116,15 @@
     },
 }
 
-/// Changes of keys.
+/// Commands for keys.
 #[derive(Debug, Subcommand)]
 pub enum KeyCommand {
-    /// Generates a key, puts its hash into force and prints the key once.
+    /// Generates a key, puts its hash into force and prints the key, which is not stored.
     Grant {
         /// Name of the team.
         team: String,
     },
-    /// Withdraws a key.
+    /// Revokes a key.
     Withdraw {
         /// Name of the team.
         team: String,
@@ -136,6 +136,6 @@
         /// Name of the team.
         team: String,
     },
-    /// Prints the hash of a key read from standard input.
+    /// Reads a key from standard input and prints its salted hash.
     Hash,
 }
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests to the administration API.
+//! HTTP client of the administration API.
 
 use std::time::Duration;
 
@@ -10,39 +10,41 @@
 
 use crate::cli::ApiArguments;
 
-/// Time that a request may take; an apply waits until the document is in force.
+/// Timeout of a request. A change is answered only after its rollout to all instances.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Exit status after a refusal by the API.
+/// Exit code after the API rejected a request.
 const REJECTED_EXIT_CODE: u8 = 3;
-/// Exit status after a lost race.
+/// Exit code after the API found a conflict, such as another revision than the expected one.
 const CONFLICT_EXIT_CODE: u8 = 4;
 
-/// Errors of a request.
+/// Error of a request.
 #[derive(Debug, Snafu)]
 pub enum ClientError {
-    /// No token was given.
-    #[snafu(display("an operator's token is required: --token or HIBISCUS_OPERATOR_TOKEN"))]
+    /// No operator token was given.
+    #[snafu(display("no operator token given; set --token or HIBISCUS_OPERATOR_TOKEN"))]
     MissingToken,
-    /// The API did not answer; the request may have taken effect.
-    #[snafu(display("no answer from {url}: {source}; repeat it with the same --request"))]
+    /// The API sent no valid response; the request may have taken effect.
+    #[snafu(display(
+        "no response from {url}: {source}; to retry a change, repeat it with the same --request"
+    ))]
     NoResponse {
-        /// Address that was asked.
+        /// URL of the request.
         url: String,
         /// Cause reported by the HTTP client.
         source: reqwest::Error,
     },
-    /// The API refused.
+    /// The API rejected the request.
     #[snafu(display("{}", format_error(response)))]
     Rejected {
-        /// Status of the answer.
+        /// Status of the response.
         status: StatusCode,
-        /// Explanation.
+        /// Body of the response.
         response: Box<ErrorResponse>,
     },
 }
 
 impl ClientError {
-    /// Returns the exit status for the error.
+    /// Returns the exit code for the error.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Rejected { status, .. } if *status == StatusCode::CONFLICT => CONFLICT_EXIT_CODE,
@@ -58,7 +60,7 @@
         text += &format!("\nin force: revision {} by {}", head.revision, head.operator);
     }
     if !response.changes.is_empty() {
-        text += "\nyour document against the one in force:\n";
+        text += "\nchanges from the document in force to yours:\n";
         text += crate::output::format_changes(&response.changes).trim_end();
     }
     text
@@ -72,7 +74,7 @@
 }
 
 impl AdminClient {
-    /// Creates a client.
+    /// Creates a client. Fails without an operator token.
     pub fn new(arguments: &ApiArguments) -> Result<Self, ClientError> {
         let token = arguments.token.clone().context(MissingTokenSnafu)?;
         let client = Client::builder().timeout(REQUEST_TIMEOUT).build();
@@ -80,12 +82,12 @@
         Ok(Self { base_url: arguments.admin.trim_end_matches('/').to_owned(), token, client })
     }
 
-    /// Reads from a path.
+    /// Sends a GET request to `path` and decodes the response.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
         self.send(Method::GET, path, None::<&()>).await
     }
 
-    /// Sends a body to a path.
+    /// Sends `body` in a POST request to `path` and decodes the response.
     pub async fn post<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out commands.
+//! Execution of the commands.
 
 use std::path::{Path, PathBuf};
 
@@ -15,10 +15,10 @@
 use crate::edit::{self, DocumentEdit, EditError};
 use crate::output;
 
-/// Attempts at a change of one entry when other operators come first.
+/// Maximum number of attempts at an edit while other operators change the document.
 const MAX_EDIT_ATTEMPTS: usize = 5;
 
-/// Errors of a command.
+/// Error of a command.
 #[derive(Debug, Snafu)]
 pub enum ControlError {
     /// A file cannot be read.
@@ -29,31 +29,31 @@
         /// Cause reported by the system.
         source: std::io::Error,
     },
-    /// The document is wrong.
+    /// The document is invalid.
     #[snafu(display("{source}"), context(false))]
     Document {
         /// Cause.
         source: DocumentError,
     },
-    /// The API refused or did not answer.
+    /// The API rejected the request or did not respond.
     #[snafu(display("{source}"), context(false))]
     Client {
         /// Cause.
         source: ClientError,
     },
-    /// The change of an entry is not possible.
+    /// The edit cannot be applied to the document in force.
     #[snafu(display("{source}"), context(false))]
     Edit {
         /// Cause.
         source: EditError,
     },
-    /// The team is not declared.
-    #[snafu(display("there is no team {name:?}"))]
+    /// The document in force has no such team.
+    #[snafu(display("team {name:?} does not exist"))]
     UnknownTeam {
-        /// Name that was looked for.
+        /// Name of the team.
         name: String,
     },
-    /// The answer cannot be shown.
+    /// The status cannot be formatted as JSON.
     #[snafu(display("{source}"), context(false))]
     Json {
         /// Cause.
@@ -62,7 +62,7 @@
 }
 
 impl ControlError {
-    /// Returns the exit status for the error.
+    /// Returns the exit code for the error.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Client { source } => source.exit_code(),
@@ -72,7 +72,7 @@
     }
 }
 
-/// Carries out a command.
+/// Runs a command and prints its result.
 pub async fn run(arguments: ControlArguments) -> Result<(), ControlError> {
     let api_arguments = &arguments.api;
     match arguments.command {
@@ -171,7 +171,8 @@
     }
 }
 
-/// Changes one entry of the document in force, again if another operator came first.
+/// Edits one entry of the document in force. Retries on the new document if another operator
+/// changed it in the meantime.
 async fn edit_document(client: &AdminClient, edit: DocumentEdit) -> Result<(), ControlError> {
     let mut attempt = 1;
     loop {
--- a/crates/ctl/src/edit.rs
+++ b/crates/ctl/src/edit.rs
@@ -1,28 +1,28 @@
-//! Changes of single entries that leave the rest of a document's text as it is.
+//! Edits of single entries that keep the rest of a document's text, comments included.
 
 use snafu::{OptionExt as _, ResultExt as _, Snafu};
 use state::credential::KeyHash;
 use toml_edit::{ArrayOfTables, DocumentMut, Item, Table, Value, value};
 
-/// Errors of a change.
+/// Error of an edit.
 #[derive(Debug, Snafu)]
 pub enum EditError {
-    /// The document cannot be read.
-    #[snafu(display("{source}"))]
+    /// The document is not valid TOML.
+    #[snafu(display("cannot parse the document: {source}"))]
     Syntax {
-        /// Cause reported by the TOML reader.
+        /// Cause reported by the TOML parser.
         source: toml_edit::TomlError,
     },
-    /// There is no such entry.
-    #[snafu(display("there is no {section} {name:?}"))]
+    /// The entry does not exist.
+    #[snafu(display("{section} {name:?} does not exist"))]
     NotFound {
         /// Section of the entry.
         section: &'static str,
         /// Name of the entry.
         name: String,
     },
-    /// There is such an entry already.
-    #[snafu(display("there is a {section} {name:?} already"))]
+    /// The entry to add exists.
+    #[snafu(display("{section} {name:?} already exists"))]
     AlreadyExists {
         /// Section of the entry.
         section: &'static str,
@@ -31,24 +31,24 @@
     },
 }
 
-/// Change of one entry.
+/// Edit of one entry of a document.
 #[derive(Clone, Debug)]
 pub enum DocumentEdit {
     /// Adds a team.
     AddTeam { name: String, rate: f64, burst: f64 },
-    /// Sets the limits of a team.
+    /// Sets the rate and burst limits of a team.
     SetTeamLimits { name: String, rate: f64, burst: f64 },
     /// Removes a team.
     RemoveTeam { name: String },
     /// Adds a key hash to a team.
     AddKey { team: String, hash: KeyHash },
-    /// Removes a key hash from a team.
+    /// Removes the key hash with a fingerprint from a team.
     RemoveKey { team: String, fingerprint: String },
-    /// Lets a database leave or takes it back.
+    /// Marks a database as leaving, or clears the mark.
     SetLeaving { database: String, leaving: bool },
 }
 
-/// Applies a change to the text of a document.
+/// Applies an edit to the text of a document and returns the new text.
 pub fn apply_edit(text: &str, edit: &DocumentEdit) -> Result<String, EditError> {
     let mut document: DocumentMut = text.parse().context(SyntaxSnafu)?;
     match edit {
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `hibiscusctl`: operators' command line over the administration API.
+//! Program `hibiscusctl`, the operators' command line client of the administration API.
 
 mod cli;
 mod client;
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Text forms of what the administration API answers.
+//! Text output of the responses of the administration API.
 
 use std::fmt::Write as _;
 
@@ -7,7 +7,7 @@
 use admin::instances::{InstanceView, RolloutReport};
 use net::store::DocumentHead;
 
-/// Describes changes, one entry a line.
+/// Formats changes, one entry per line with its changed fields below it.
 pub fn format_changes(changes: &[EntryChange]) -> String {
     let mut text = String::new();
     for EntryChange { section, name, change } in changes {
@@ -26,24 +26,25 @@
     text
 }
 
-/// Describes a revision.
+/// Formats the head of a revision.
 pub fn format_head(head: &DocumentHead) -> String {
     format!("revision {} by {}\ndigest {}\n", head.revision, head.operator, head.digest)
 }
 
-/// Describes where a revision is in force.
+/// Formats the rollout of a revision.
 pub fn format_rollout(rollout: &RolloutReport) -> String {
     let state =
         if rollout.everywhere { "in force everywhere" } else { "NOT YET in force everywhere" };
     let mut text = format!("{state} after {} ms\n", rollout.time_ms);
     _ = writeln!(text, "confirmed by {}", join_names(&rollout.confirmed));
     if !rollout.expired.is_empty() {
-        _ = writeln!(text, "silent, older document run out: {}", join_names(&rollout.expired));
+        _ = writeln!(text, "no response, older document expired: {}", join_names(&rollout.expired));
     }
     text
 }
 
-/// Describes an environment.
+/// Formats the status of an environment. Members are shown as the first instance with a report
+/// sees them.
 pub fn format_status(status: &StatusResponse) -> String {
     let mut text = format!("environment {}\n", status.environment);
     match &status.head {
@@ -72,7 +73,7 @@
 fn format_instance(instance: &InstanceView) -> String {
     let leaving = if instance.leaving { " leaving" } else { "" };
     match &instance.report {
-        None => format!("instance {} in {}{leaving}: no answer\n", instance.name, instance.zone),
+        None => format!("instance {} in {}{leaving}: no response\n", instance.name, instance.zone),
         Some(report) => format!(
             "instance {} in {}{leaving}: {} revision {} epoch {} callers {}{}\n",
             instance.name,
--- a/tools/codegen/src/main.rs
+++ b/tools/codegen/src/main.rs
@@ -1,14 +1,14 @@
-//! Writes the code of the peer protocol from its `.proto` file; `--check` only compares.
+//! Generates the code of the peer protocol; with `--check`, only verifies that it is up to date.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Protocol definition, relative to the workspace.
+/// Protocol definition, relative to the workspace root.
 const PROTO_FILE: &str = "crates/wire/proto/peer.proto";
-/// Directory of the definition.
+/// Include path of the definition, relative to the workspace root.
 const PROTO_DIRECTORY: &str = "crates/wire/proto";
-/// Committed code, relative to the workspace.
+/// Committed code, relative to the workspace root.
 const COMMITTED_FILE: &str = "crates/wire/src/gen/hibiscus.peer.rs";
 
 fn main() -> ExitCode {
@@ -16,7 +16,7 @@
     match run(check) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
-            eprintln!("{COMMITTED_FILE} is not what {PROTO_FILE} gives; run the codegen program");
+            eprintln!("{COMMITTED_FILE} does not match {PROTO_FILE}; run `cargo run -p codegen`");
             ExitCode::FAILURE
         }
         Err(error) => {
