--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -1,4 +1,4 @@
-//! HTTP interface of the administration API.
+//! HTTP routes, requests and responses of the administration API.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,20 +20,20 @@
 use telemetry::log_event;
 use tokio::net::TcpListener;
 
-use crate::fleet::{self, ForceReport, InstanceView};
-use crate::plan::{self, EntryChange};
+use crate::diff::{self, EntryChange};
+use crate::instances::{self, InstanceView, RolloutReport};
 use crate::settings::{AdminSettings, OperatorCredential};
 
-/// Time that an operation on the platform's services may take.
+/// Timeout of an operation on the platform's services.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Errors of the API's start.
+/// Error of starting or serving the API.
 #[derive(Debug, Snafu)]
 pub enum AdminError {
-    /// The address cannot be listened on or served.
+    /// The listener cannot be bound or fails.
     #[snafu(display("cannot serve on {address}: {source}"))]
     Serve {
-        /// Address that was tried.
+        /// Address to listen on.
         address: SocketAddr,
         /// Cause reported by the system.
         source: std::io::Error,
@@ -46,93 +46,98 @@
     },
 }
 
-/// Request that carries a document.
+/// Request to validate a document or to plan its application.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DocumentRequest {
-    /// Text of the document.
+    /// Text of the document in TOML.
     pub text: String,
 }
 
-/// Request to replace the document.
+/// Request to replace the document in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ApplyRequest {
-    /// Revision that the change rests on; zero for none.
-    pub expected: u64,
-    /// Text of the document.
+    /// Revision that must be in force for the change to be accepted; zero for no document.
+    #[serde(rename = "expected")]
+    pub expected_revision: u64,
+    /// Text of the document in TOML.
     pub text: String,
-    /// Identifier by which a repeated request is recognised.
-    pub request: String,
+    /// Identifier that makes the request idempotent; a retry carries the same one.
+    #[serde(rename = "request")]
+    pub request_id: String,
 }
 
-/// Request to promote a document from the environment before this one.
+/// Request to put a document into force that was in force in the source environment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PromoteRequest {
-    /// Revision that the change rests on; zero for none.
-    pub expected: u64,
+    /// Revision that must be in force for the change to be accepted; zero for no document.
+    #[serde(rename = "expected")]
+    pub expected_revision: u64,
     /// Digest of the document to promote.
     pub digest: String,
-    /// Identifier by which a repeated request is recognised.
-    pub request: String,
+    /// Identifier that makes the request idempotent; a retry carries the same one.
+    #[serde(rename = "request")]
+    pub request_id: String,
 }
 
-/// Document with its head.
+/// Document in force with its head.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DocumentReply {
-    /// Head of the revision; none before the first document.
+pub struct DocumentResponse {
+    /// Head of the revision; `None` before the first document.
     pub head: Option<DocumentHead>,
-    /// Text of the document.
+    /// Text of the document in TOML.
     pub text: String,
 }
 
-/// What a document would change.
+/// Changes that a document would make.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct PlanReply {
-    /// Revision in force, zero for none.
+pub struct PlanResponse {
+    /// Revision in force; zero before the first document.
     pub revision: u64,
-    /// Changes against the document in force.
+    /// Changes from the document in force to the one in the request.
     pub changes: Vec<EntryChange>,
 }
 
-/// Answer to an accepted change.
+/// Response to an accepted change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ApplyReply {
-    /// Head of the revision that was made.
+pub struct ApplyResponse {
+    /// Head of the new revision.
     pub head: DocumentHead,
-    /// Where the revision is in force.
-    pub force: ForceReport,
+    /// Rollout of the revision to the instances.
+    #[serde(rename = "force")]
+    pub rollout: RolloutReport,
 }
 
-/// Explanation of a refusal.
+/// Body of an error response.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ErrorReply {
-    /// Short name of the refusal.
+pub struct ErrorResponse {
+    /// Code of the error, for programs.
     pub error: String,
-    /// Explanation.
+    /// Description of the error, for operators.
     pub detail: String,
-    /// Head in force, if a race was lost.
+    /// Head in force, if its revision is not the expected one.
     #[serde(default)]
     pub head: Option<DocumentHead>,
-    /// Changes that the refused document would make to the one in force.
+    /// Changes that the rejected document would make to the one in force.
     #[serde(default)]
     pub changes: Vec<EntryChange>,
 }
 
-/// State of the environment.
+/// State of an environment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct StatusReply {
+pub struct StatusResponse {
     /// Name of the environment.
     pub environment: String,
-    /// Head in force, none before the first document.
+    /// Head in force; `None` before the first document.
     pub head: Option<DocumentHead>,
-    /// Instances that the platform lists, with what they report.
+    /// Instances that the platform lists, with their reports.
     pub instances: Vec<InstanceView>,
 }
 
-/// Name of the operator who sent a request.
+/// Name of the authenticated operator, attached to a request.
 #[derive(Clone, Debug)]
 struct OperatorName(String);
 
-/// State of the API.
+/// State shared by all request handlers.
 pub struct AdminService {
     settings: AdminSettings,
     platform: PlatformClient,
@@ -140,46 +145,46 @@
 
 type ServiceState = State<Arc<AdminService>>;
 
-/// Refusal of an API request.
-struct ApiRefusal {
+/// Error of a request, returned as an error response.
+struct ApiError {
     status: StatusCode,
-    reply: Box<ErrorReply>,
+    body: Box<ErrorResponse>,
 }
 
-impl ApiRefusal {
-    fn new(status: StatusCode, error: &str, detail: impl ToString) -> Self {
-        let reply = ErrorReply {
-            error: error.to_owned(),
+impl ApiError {
+    fn new(status: StatusCode, code: &str, detail: impl ToString) -> Self {
+        let body = ErrorResponse {
+            error: code.to_owned(),
             detail: detail.to_string(),
             head: None,
             changes: Vec::new(),
         };
-        Self { status, reply: Box::new(reply) }
+        Self { status, body: Box::new(body) }
     }
 }
 
-impl From<StoreError> for ApiRefusal {
+impl From<StoreError> for ApiError {
     fn from(error: StoreError) -> Self {
         Self::new(StatusCode::SERVICE_UNAVAILABLE, "store", error)
     }
 }
 
-impl IntoResponse for ApiRefusal {
+impl IntoResponse for ApiError {
     fn into_response(self) -> Response {
-        (self.status, Json(*self.reply)).into_response()
+        (self.status, Json(*self.body)).into_response()
     }
 }
 
-type ApiResult<T> = Result<Json<T>, ApiRefusal>;
+type ApiResult<T> = Result<Json<T>, ApiError>;
 
-/// Opens the listener and serves until the task ends.
+/// Binds the listener and serves the API until the future is dropped.
 pub async fn serve(settings: AdminSettings) -> Result<(), AdminError> {
     let address = settings.listen;
     let listener = TcpListener::bind(address).await.context(ServeSnafu { address })?;
     serve_on(listener, settings).await
 }
 
-/// Serves on an open listener until the task ends.
+/// Serves the API on a bound listener until the future is dropped.
 pub async fn serve_on(listener: TcpListener, settings: AdminSettings) -> Result<(), AdminError> {
     let address = settings.listen;
     let platform = PlatformClient::new(settings.platform.clone(), PLATFORM_TIMEOUT)?;
@@ -193,7 +198,7 @@
         .route("/v1/validate", post(validate_document))
         .route("/v1/plan", post(plan_document))
         .route("/v1/promote", post(promote_document))
-        .route("/v1/status", get(status))
+        .route("/v1/status", get(read_status))
         .layer(middleware::from_fn_with_state(service.clone(), authenticate))
         .layer(DefaultBodyLimit::max(2 * MAX_DOCUMENT_BYTES))
         .with_state(service)
@@ -206,35 +211,36 @@
 ) -> Response {
     let header = request.headers().get(header::AUTHORIZATION);
     let token = header.and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "));
-    let known =
-        |operator: &&OperatorCredential| token.is_some_and(|token| operator.hash.matches(token));
-    let Some(operator) = service.settings.operators.iter().find(known) else {
-        let detail = "an operator's token is required";
+    let has_token = |operator: &&OperatorCredential| {
+        token.is_some_and(|token| operator.token_hash.matches(token))
+    };
+    let Some(operator) = service.settings.operators.iter().find(has_token) else {
+        let detail = "the request carries no valid operator token";
         let status = StatusCode::UNAUTHORIZED;
-        return ApiRefusal::new(status, "unauthorized", detail).into_response();
+        return ApiError::new(status, "unauthorized", detail).into_response();
     };
     let name = OperatorName(operator.name.clone());
     request.extensions_mut().insert(name);
     next.run(request).await
 }
 
-async fn read_document(State(service): ServiceState) -> ApiResult<DocumentReply> {
+async fn read_document(State(service): ServiceState) -> ApiResult<DocumentResponse> {
     let current = service.store().current().await?;
     let (head, text) =
         current.map_or((None, String::new()), |stored| (Some(stored.head), stored.text));
-    Ok(Json(DocumentReply { head, text }))
+    Ok(Json(DocumentResponse { head, text }))
 }
 
 async fn validate_document(Json(body): Json<DocumentRequest>) -> ApiResult<DocumentRequest> {
-    parse(&body.text)?;
+    parse_document(&body.text)?;
     Ok(Json(body))
 }
 
 async fn plan_document(
     State(service): ServiceState,
     Json(body): Json<DocumentRequest>,
-) -> ApiResult<PlanReply> {
-    let document = parse(&body.text)?;
+) -> ApiResult<PlanResponse> {
+    let document = parse_document(&body.text)?;
     Ok(Json(service.plan(&document).await?))
 }
 
@@ -242,28 +248,29 @@
     State(service): ServiceState,
     Extension(operator): Extension<OperatorName>,
     Json(body): Json<ApplyRequest>,
-) -> ApiResult<ApplyReply> {
-    parse(&body.text)?;
-    if let Some(from) = &service.settings.promote_from {
-        let detail = format!("this environment takes documents only by promotion from {from:?}");
-        return Err(ApiRefusal::new(StatusCode::FORBIDDEN, "promotion_only", detail));
+) -> ApiResult<ApplyResponse> {
+    parse_document(&body.text)?;
+    if let Some(source) = &service.settings.promote_from {
+        let detail = format!("documents are accepted only by promotion from {source:?}");
+        return Err(ApiError::new(StatusCode::FORBIDDEN, "promotion_only", detail));
     }
-    service.replace(body.expected, &body.text, &body.request, &operator).await
+    service.replace_document(body.expected_revision, &body.text, &body.request_id, &operator).await
 }
 
 async fn promote_document(
     State(service): ServiceState,
     Extension(operator): Extension<OperatorName>,
     Json(body): Json<PromoteRequest>,
-) -> ApiResult<ApplyReply> {
-    let Some(from) = &service.settings.promote_from else {
-        let detail = "this environment has none before it";
-        return Err(ApiRefusal::new(StatusCode::FORBIDDEN, "no_trial", detail));
+) -> ApiResult<ApplyResponse> {
+    let Some(source) = &service.settings.promote_from else {
+        let detail = "promotion is disabled: no source environment is configured";
+        return Err(ApiError::new(StatusCode::FORBIDDEN, "no_trial", detail));
     };
-    let trial = DocumentStore::new(&service.platform, from);
-    if !trial.was_in_force(&body.digest).await? {
-        let detail = format!("document {} was never in force in {from:?}", body.digest);
-        return Err(ApiRefusal::new(StatusCode::CONFLICT, "never_tried", detail));
+    let source_store = DocumentStore::new(&service.platform, source);
+    if !source_store.was_in_force(&body.digest).await? {
+        let detail =
+            format!("document {} was never in force in environment {source:?}", body.digest);
+        return Err(ApiError::new(StatusCode::CONFLICT, "never_tried", detail));
     }
     let head = DocumentHead {
         revision: 0,
@@ -271,21 +278,21 @@
         request: String::new(),
         operator: String::new(),
     };
-    let text = trial.body(&head).await?;
-    service.replace(body.expected, &text, &body.request, &operator).await
+    let text = source_store.body(&head).await?;
+    service.replace_document(body.expected_revision, &text, &body.request_id, &operator).await
 }
 
-async fn status(State(service): ServiceState) -> ApiResult<StatusReply> {
+async fn read_status(State(service): ServiceState) -> ApiResult<StatusResponse> {
     let head = service.store().head().await?;
-    let listed = service.platform.instances().await.map_err(StoreError::from)?;
-    let instances = fleet::report(&listed).await;
+    let records = service.platform.instances().await.map_err(StoreError::from)?;
+    let instances = instances::collect_reports(&records).await;
     let environment = service.settings.environment.clone();
-    Ok(Json(StatusReply { environment, head, instances }))
+    Ok(Json(StatusResponse { environment, head, instances }))
 }
 
-fn parse(text: &str) -> Result<Document, ApiRefusal> {
+fn parse_document(text: &str) -> Result<Document, ApiError> {
     let parsed = Document::parse(text);
-    parsed.map_err(|error| ApiRefusal::new(StatusCode::UNPROCESSABLE_ENTITY, "invalid", error))
+    parsed.map_err(|error| ApiError::new(StatusCode::UNPROCESSABLE_ENTITY, "invalid", error))
 }
 
 impl AdminService {
@@ -293,43 +300,45 @@
         DocumentStore::new(&self.platform, &self.settings.environment)
     }
 
-    async fn plan(&self, document: &Document) -> Result<PlanReply, ApiRefusal> {
+    async fn plan(&self, document: &Document) -> Result<PlanResponse, ApiError> {
         let Some(stored) = self.store().current().await? else {
-            let changes = plan::compare(&Document::default(), document);
-            return Ok(PlanReply { revision: 0, changes });
+            let changes = diff::compare_documents(&Document::default(), document);
+            return Ok(PlanResponse { revision: 0, changes });
         };
-        let changes = plan::compare(&parse(&stored.text)?, document);
-        Ok(PlanReply { revision: stored.head.revision, changes })
+        let changes = diff::compare_documents(&parse_document(&stored.text)?, document);
+        Ok(PlanResponse { revision: stored.head.revision, changes })
     }
 
-    async fn replace(
+    async fn replace_document(
         &self,
-        expected: u64,
+        expected_revision: u64,
         text: &str,
-        request: &str,
+        request_id: &str,
         operator: &OperatorName,
-    ) -> ApiResult<ApplyReply> {
+    ) -> ApiResult<ApplyResponse> {
         let store = self.store();
-        match store.replace(expected, text, request, &operator.0).await? {
+        match store.replace(expected_revision, text, request_id, &operator.0).await? {
             ReplaceOutcome::Accepted(head) => {
                 let (revision, name) = (head.revision, &operator.0);
                 log_event!(LogEvent::DocumentAccepted, "revision={revision} operator={name}");
-                let listed = self.platform.instances().await.unwrap_or_default();
-                let force = fleet::wait_for_force(&listed, revision).await;
-                Ok(Json(ApplyReply { head, force }))
+                let records = self.platform.instances().await.unwrap_or_default();
+                let rollout = instances::wait_for_rollout(&records, revision).await;
+                Ok(Json(ApplyResponse { head, rollout }))
             }
             ReplaceOutcome::Conflict(head) => {
-                let (found, name) = (head.revision, &operator.0);
+                let (current_revision, name) = (head.revision, &operator.0);
                 log_event!(
                     LogEvent::DocumentConflict,
-                    "expected={expected} found={found} operator={name}"
+                    "expected={expected_revision} found={current_revision} operator={name}"
+                );
+                let plan = self.plan(&parse_document(text)?).await?;
+                let detail = format!(
+                    "expected revision {expected_revision}, but {current_revision} is in force"
                 );
-                let plan = self.plan(&parse(text)?).await?;
-                let detail = format!("revision {expected} was expected, {found} is in force");
-                let mut refusal = ApiRefusal::new(StatusCode::CONFLICT, "conflict", detail);
-                refusal.reply.head = Some(head);
-                refusal.reply.changes = plan.changes;
-                Err(refusal)
+                let mut error = ApiError::new(StatusCode::CONFLICT, "conflict", detail);
+                error.body.head = Some(head);
+                error.body.changes = plan.changes;
+                Err(error)
             }
         }
     }
--- a/crates/admin/src/plan.rs
+++ b/crates/admin/src/diff.rs
@@ -1,4 +1,4 @@
-//! Differences between two documents, in the words of an operator.
+//! Comparison of two documents, entry by entry, as operators read it.
 
 use std::collections::BTreeMap;
 
@@ -6,31 +6,31 @@
 use state::credential::KeyHash;
 use state::document::Document;
 
-/// Change of one entry.
+/// Change of one entry of a document.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct EntryChange {
-    /// Section of the entry.
+    /// Section of the entry: `team`, `database` or `route`.
     pub section: String,
     /// Name of the entry.
     pub name: String,
-    /// What happens to the entry.
+    /// Kind of the change.
     pub change: ChangeKind,
 }
 
-/// What happens to an entry.
+/// Kind of a change.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ChangeKind {
-    /// The entry is new.
+    /// The entry is added.
     Added,
-    /// The entry goes.
+    /// The entry is removed.
     Removed,
-    /// The entry changes; each line names a field with its old and new value.
+    /// The entry is changed; each line names a field with its old and its new value.
     Changed(Vec<String>),
 }
 
-/// Lists the changes that lead from `before` to `after`.
-pub fn compare(before: &Document, after: &Document) -> Vec<EntryChange> {
+/// Returns the changes that turn `before` into `after`.
+pub fn compare_documents(before: &Document, after: &Document) -> Vec<EntryChange> {
     let mut changes = Vec::new();
     compare_section(&mut changes, "team", &before.teams, &after.teams, |team| &team.name);
     let (old, new) = (&before.databases, &after.databases);
@@ -44,10 +44,10 @@
     section: &str,
     before: &[T],
     after: &[T],
-    name: impl Fn(&T) -> &String,
+    name_of: impl Fn(&T) -> &String,
 ) {
-    let old: BTreeMap<&String, &T> = before.iter().map(|entry| (name(entry), entry)).collect();
-    let new: BTreeMap<&String, &T> = after.iter().map(|entry| (name(entry), entry)).collect();
+    let old: BTreeMap<&String, &T> = before.iter().map(|entry| (name_of(entry), entry)).collect();
+    let new: BTreeMap<&String, &T> = after.iter().map(|entry| (name_of(entry), entry)).collect();
     let mut push = |name: &str, change| {
         changes.push(EntryChange { section: section.to_owned(), name: name.to_owned(), change });
     };
@@ -58,15 +58,15 @@
         match old.get(name) {
             None => push(name, ChangeKind::Added),
             Some(previous) if previous != entry => {
-                push(name, ChangeKind::Changed(changed_fields(*previous, *entry)));
+                push(name, ChangeKind::Changed(format_changed_fields(*previous, *entry)));
             }
             Some(_) => {}
         }
     }
 }
 
-fn changed_fields<T: Serialize>(before: &T, after: &T) -> Vec<String> {
-    let (old, new) = (fields(before), fields(after));
+fn format_changed_fields<T: Serialize>(before: &T, after: &T) -> Vec<String> {
+    let (old, new) = (field_map(before), field_map(after));
     let mut names: Vec<&String> = old.keys().chain(new.keys()).collect();
     names.sort();
     names.dedup();
@@ -75,15 +75,15 @@
         .into_iter()
         .map(|name| (name, old.get(name).unwrap_or(&absent), new.get(name).unwrap_or(&absent)))
         .filter(|(_, old, new)| old != new)
-        .map(|(name, old, new)| format!("{name}: {} -> {}", shown(old), shown(new)))
+        .map(|(name, old, new)| format!("{name}: {} -> {}", format_value(old), format_value(new)))
         .collect()
 }
 
-/// Shows a value; key hashes appear as the fingerprints by which operators name them.
-fn shown(value: &serde_json::Value) -> String {
+/// Formats a value. Key hashes become the fingerprints by which operators refer to keys.
+fn format_value(value: &serde_json::Value) -> String {
     match value {
         serde_json::Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(shown).collect();
+            let items: Vec<String> = items.iter().map(format_value).collect();
             format!("[{}]", items.join(", "))
         }
         serde_json::Value::String(text) => match text.parse::<KeyHash>() {
@@ -94,7 +94,7 @@
     }
 }
 
-fn fields<T: Serialize>(entry: &T) -> serde_json::Map<String, serde_json::Value> {
+fn field_map<T: Serialize>(entry: &T) -> serde_json::Map<String, serde_json::Value> {
     match serde_json::to_value(entry) {
         Ok(serde_json::Value::Object(fields)) => fields,
         _ => serde_json::Map::new(),
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/output.rs
@@ -1,14 +1,14 @@
-//! Text forms of what the administration API answers.
+//! Text output of the responses of the administration API.
 
 use std::fmt::Write as _;
 
-use admin::api::StatusReply;
-use admin::fleet::{ForceReport, InstanceView};
-use admin::plan::{ChangeKind, EntryChange};
+use admin::api::StatusResponse;
+use admin::diff::{ChangeKind, EntryChange};
+use admin::instances::{InstanceView, RolloutReport};
 use net::store::DocumentHead;
 
-/// Describes changes, one entry a line.
-pub fn changes(changes: &[EntryChange]) -> String {
+/// Formats changes, one entry per line with its changed fields below it.
+pub fn format_changes(changes: &[EntryChange]) -> String {
     let mut text = String::new();
     for EntryChange { section, name, change } in changes {
         match change {
@@ -26,31 +26,32 @@
     text
 }
 
-/// Describes a revision.
-pub fn head(head: &DocumentHead) -> String {
+/// Formats the head of a revision.
+pub fn format_head(head: &DocumentHead) -> String {
     format!("revision {} by {}\ndigest {}\n", head.revision, head.operator, head.digest)
 }
 
-/// Describes where a revision is in force.
-pub fn force(force: &ForceReport) -> String {
+/// Formats the rollout of a revision.
+pub fn format_rollout(rollout: &RolloutReport) -> String {
     let state =
-        if force.everywhere { "in force everywhere" } else { "NOT YET in force everywhere" };
-    let mut text = format!("{state} after {} ms\n", force.time_ms);
-    _ = writeln!(text, "confirmed by {}", list(&force.confirmed));
-    if !force.run_out.is_empty() {
-        _ = writeln!(text, "silent, older document run out: {}", list(&force.run_out));
+        if rollout.everywhere { "in force everywhere" } else { "NOT YET in force everywhere" };
+    let mut text = format!("{state} after {} ms\n", rollout.time_ms);
+    _ = writeln!(text, "confirmed by {}", join_names(&rollout.confirmed));
+    if !rollout.expired.is_empty() {
+        _ = writeln!(text, "no response, older document expired: {}", join_names(&rollout.expired));
     }
     text
 }
 
-/// Describes an environment.
-pub fn status(status: &StatusReply) -> String {
+/// Formats the status of an environment. Members are shown as the first instance with a report
+/// sees them.
+pub fn format_status(status: &StatusResponse) -> String {
     let mut text = format!("environment {}\n", status.environment);
     match &status.head {
-        Some(found) => text += &head(found),
+        Some(head) => text += &format_head(head),
         None => text += "no document yet\n",
     }
-    status.instances.iter().for_each(|instance| text += &instance_line(instance));
+    status.instances.iter().for_each(|instance| text += &format_instance(instance));
     let report = status.instances.iter().find_map(|instance| instance.report.as_ref());
     for member in report.iter().flat_map(|report| &report.members) {
         let age = member.age_ms.map_or("-".to_owned(), |age| format!("{age} ms"));
@@ -69,10 +70,10 @@
     text
 }
 
-fn instance_line(instance: &InstanceView) -> String {
+fn format_instance(instance: &InstanceView) -> String {
     let leaving = if instance.leaving { " leaving" } else { "" };
     match &instance.report {
-        None => format!("instance {} in {}{leaving}: no answer\n", instance.name, instance.zone),
+        None => format!("instance {} in {}{leaving}: no response\n", instance.name, instance.zone),
         Some(report) => format!(
             "instance {} in {}{leaving}: {} revision {} epoch {} callers {}{}\n",
             instance.name,
@@ -86,6 +87,6 @@
     }
 }
 
-fn list(names: &[String]) -> String {
+fn join_names(names: &[String]) -> String {
     if names.is_empty() { "nobody".to_owned() } else { names.join(", ") }
 }
