--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -246,21 +246,18 @@
         primary_only: bool,
     ) -> Result<AttemptTarget, RequestRefusal> {
         let mut changes = self.database.subscribe();
-        let seen = self.positions.get(&self.entry.name);
-        let stated_age = terms.stated_age().filter(|_| !primary_only);
+        let min_position = self.positions.get(&self.entry.name);
+        let max_staleness = terms.stated_age().filter(|_| !primary_only);
         loop {
             changes.borrow_and_update();
             let now = self.instance.now();
             let target = if request.class.kind == StatementKind::Read && request.synced {
-                let needs = ReadRequirements {
-                    max_staleness: stated_age,
-                    min_position: seen,
-                    began_at: self.began_at,
-                };
+                let needs =
+                    ReadRequirements { max_staleness, min_position, began_at: self.began_at };
                 let (target, views) = self.database.route_read(&needs, now);
                 if let RouteTarget::Replica(member) = target {
                     // Without a token the answer must at least reach what the choice rests on.
-                    let floor = seen.or(Some(views[member].position.applied_position()));
+                    let floor = min_position.or(Some(views[member].position.applied_position()));
                     return Ok(AttemptTarget { member, term: None, floor });
                 }
                 target
@@ -270,7 +267,7 @@
             if let RouteTarget::Primary(member) = target {
                 let status = self.database.members[member].record().status;
                 let term = status.map(|status| status.position.term);
-                return Ok(AttemptTarget { member, term, floor: seen });
+                return Ok(AttemptTarget { member, term, floor: min_position });
             }
             let waited = timeout_at(terms.deadline.into(), changes.changed()).await;
             if !matches!(waited, Ok(Ok(()))) {
