--- a/crates/proxy/src/cancel.rs
+++ b/crates/proxy/src/cancel.rs
@@ -8,17 +8,17 @@
 use tokio::sync::Notify;
 
 /// Independently locked parts of the registry.
-const SHARDS: usize = 16;
+const SHARD_COUNT: usize = 16;
 
 /// What a session runs at the moment.
 #[derive(Debug, Default)]
-pub struct CancelSlot {
-    secret: i32,
+pub struct CancelTarget {
+    secret_key: i32,
     running: Mutex<Option<CancelHandle>>,
-    waiting: Notify,
+    cancel_requested: Notify,
 }
 
-impl CancelSlot {
+impl CancelTarget {
     /// Notes the statement that runs, or that none does.
     pub fn set_running(&self, handle: Option<CancelHandle>) {
         *self.running.lock() = handle;
@@ -26,19 +26,19 @@
 
     /// Waits for a cancel request that finds no running statement.
     pub async fn cancelled(&self) {
-        self.waiting.notified().await;
+        self.cancel_requested.notified().await;
     }
 }
 
 /// Sessions of an instance by process number.
 #[derive(Debug)]
 pub struct CancelRegistry {
-    shards: Vec<Mutex<Slab<Arc<CancelSlot>>>>,
+    shards: Vec<Mutex<Slab<Arc<CancelTarget>>>>,
 }
 
 impl Default for CancelRegistry {
     fn default() -> Self {
-        Self { shards: (0..SHARDS).map(|_| Mutex::default()).collect() }
+        Self { shards: (0..SHARD_COUNT).map(|_| Mutex::default()).collect() }
     }
 }
 
@@ -46,64 +46,64 @@
 #[derive(Debug)]
 pub struct CancelRegistration {
     registry: Arc<CancelRegistry>,
-    process: i32,
-    slot: Arc<CancelSlot>,
+    process_id: i32,
+    target: Arc<CancelTarget>,
 }
 
 impl CancelRegistration {
     /// Returns the process number told to the caller.
-    pub fn process(&self) -> i32 {
-        self.process
+    pub fn process_id(&self) -> i32 {
+        self.process_id
     }
 
     /// Returns the secret told to the caller.
-    pub fn secret(&self) -> i32 {
-        self.slot.secret
+    pub fn secret_key(&self) -> i32 {
+        self.target.secret_key
     }
 
     /// Returns what the session runs.
-    pub fn slot(&self) -> &CancelSlot {
-        &self.slot
+    pub fn cancel_target(&self) -> &CancelTarget {
+        &self.target
     }
 }
 
 impl Drop for CancelRegistration {
     fn drop(&mut self) {
-        let (shard, key) = split(self.process);
-        self.registry.shards[shard].lock().try_remove(key);
+        let (shard, index) = split_process_id(self.process_id);
+        self.registry.shards[shard].lock().try_remove(index);
     }
 }
 
 impl CancelRegistry {
     /// Registers a session.
     pub fn register(self: &Arc<Self>) -> CancelRegistration {
-        let secret: i32 = rand::random();
-        let slot = Arc::new(CancelSlot { secret, ..CancelSlot::default() });
-        let shard = secret.unsigned_abs() as usize % SHARDS;
-        let key = self.shards[shard].lock().insert(slot.clone());
-        let process = (key * SHARDS + shard) as i32;
-        CancelRegistration { registry: self.clone(), process, slot }
+        let secret_key: i32 = rand::random();
+        let target = Arc::new(CancelTarget { secret_key, ..CancelTarget::default() });
+        let shard = secret_key.unsigned_abs() as usize % SHARD_COUNT;
+        let index = self.shards[shard].lock().insert(target.clone());
+        let process_id = (index * SHARD_COUNT + shard) as i32;
+        CancelRegistration { registry: self.clone(), process_id, target }
     }
 
     /// Cancels what the session with this process number runs, if the secret fits.
-    pub async fn cancel(&self, process: i32, secret: i32) {
-        let (shard, key) = split(process);
-        let Some(slot) = self.shards[shard].lock().get(key).cloned() else {
+    pub async fn cancel(&self, process_id: i32, secret_key: i32) {
+        let (shard, index) = split_process_id(process_id);
+        let Some(target) = self.shards[shard].lock().get(index).cloned() else {
             return;
         };
-        if slot.secret != secret {
+        if target.secret_key != secret_key {
             return;
         }
-        let running = slot.running.lock().clone();
+        let running = target.running.lock().clone();
         match running {
             // A cancel request that fails leaves the statement to its deadline.
             Some(handle) => drop(handle.send().await),
-            None => slot.waiting.notify_waiters(),
+            None => target.cancel_requested.notify_waiters(),
         }
     }
 }
 
-fn split(process: i32) -> (usize, usize) {
-    let number = process.unsigned_abs() as usize;
-    (number % SHARDS, number / SHARDS)
+fn split_process_id(process_id: i32) -> (usize, usize) {
+    let unsigned_id = process_id.unsigned_abs() as usize;
+    (unsigned_id % SHARD_COUNT, unsigned_id / SHARD_COUNT)
 }
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -16,15 +16,15 @@
 
 use crate::instance::{InstancePhase, ProxyInstance};
 use crate::session::CallerSession;
-use crate::startup::{self, StartedCaller, StartupEnd};
+use crate::startup::{self, AuthenticatedCaller, StartupEnd};
 
 /// Pause after the system refused to hand over a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Counts a caller for as long as its connection is open.
-struct CallerCount(Arc<ProxyInstance>);
+struct CallerGuard(Arc<ProxyInstance>);
 
-impl Drop for CallerCount {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
         self.0.callers.fetch_sub(1, Ordering::Relaxed);
     }
@@ -42,10 +42,10 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                sessions.spawn(run(stream, instance.clone()));
+                sessions.spawn(serve_caller(stream, instance.clone()));
                 while sessions.try_join_next().is_some() {}
             }
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_BACKOFF).await,
         }
     }
     // The listener closes here; the task stays for the sessions that are still open.
@@ -53,44 +53,52 @@
     std::future::pending::<()>().await;
 }
 
-async fn run(stream: TcpStream, instance: Arc<ProxyInstance>) {
+async fn serve_caller(stream: TcpStream, instance: Arc<ProxyInstance>) {
     let callers = instance.callers.fetch_add(1, Ordering::Relaxed);
-    let _count = CallerCount(instance.clone());
+    let _guard = CallerGuard(instance.clone());
     let mut socket = FramedSocket::new(stream, instance.settings.max_message_bytes);
     if callers >= instance.settings.max_callers {
         let reason = RefusalReason::TooManyCallers;
         let refusal = RequestRefusal::new(reason, "the instance serves as many callers as it may");
-        return refuse(&mut socket, &instance, &refusal).await;
+        return send_refusal(&mut socket, &instance, &refusal).await;
     }
     // Startup is boxed so that an idle session does not keep its space.
-    match Box::pin(start(&mut socket, &instance)).await {
+    match Box::pin(run_startup(&mut socket, &instance)).await {
         Ok(caller) => {
-            log_event!(LogEvent::SessionOpened, "process={}", caller.registration.process());
+            log_event!(
+                LogEvent::SessionOpened,
+                "process={}",
+                caller.cancel_registration.process_id()
+            );
             if let Some(session) = CallerSession::new(socket, instance, caller) {
                 session.run().await;
             }
         }
-        Err(StartupEnd::Refused(refusal)) => refuse(&mut socket, &instance, &refusal).await,
-        Err(StartupEnd::Done) => {}
+        Err(StartupEnd::Refused(refusal)) => send_refusal(&mut socket, &instance, &refusal).await,
+        Err(StartupEnd::NoSession) => {}
     }
 }
 
-async fn start(
+async fn run_startup(
     socket: &mut FramedSocket,
     instance: &Arc<ProxyInstance>,
-) -> Result<StartedCaller, StartupEnd> {
-    let limit = instance.settings.startup_timeout;
-    match timeout(limit, startup::run(socket, instance)).await {
-        Ok(started) => started,
+) -> Result<AuthenticatedCaller, StartupEnd> {
+    let startup_timeout = instance.settings.startup_timeout;
+    match timeout(startup_timeout, startup::run(socket, instance)).await {
+        Ok(result) => result,
         Err(_) => {
-            let detail = format!("startup took longer than {} ms", limit.as_millis());
+            let detail = format!("startup took longer than {} ms", startup_timeout.as_millis());
             let refusal = RequestRefusal::new(RefusalReason::StartupTimeout, detail);
             Err(StartupEnd::Refused(refusal))
         }
     }
 }
 
-async fn refuse(socket: &mut FramedSocket, instance: &ProxyInstance, refusal: &RequestRefusal) {
+async fn send_refusal(
+    socket: &mut FramedSocket,
+    instance: &ProxyInstance,
+    refusal: &RequestRefusal,
+) {
     instance.counters.refused(refusal.reason);
     log_event!(LogEvent::RequestRefused, "reason={} at startup", refusal.reason.label());
     let mut output = BytesMut::new();
--- a/crates/proxy/src/parameter.rs
+++ b/crates/proxy/src/parameter.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 /// Parameters that are told to a caller at startup.
-pub const REPORTED: &[(&str, &str)] = &[
+pub const REPORTED_PARAMETERS: &[(&str, &str)] = &[
     ("server_version", "15.0"),
     ("server_encoding", "UTF8"),
     ("client_encoding", "UTF8"),
@@ -15,7 +15,8 @@
     ("is_superuser", "off"),
 ];
 /// Parameters that only name or time things on the caller's side.
-const FREE: &[&str] = &["application_name", "client_min_messages", "extra_float_digits"];
+const UNCHECKED_PARAMETERS: &[&str] =
+    &["application_name", "client_min_messages", "extra_float_digits"];
 /// Parameter that limits the time of a statement, in milliseconds.
 pub const STATEMENT_TIMEOUT: &str = "statement_timeout";
 /// Parameter that carries the session token.
@@ -25,11 +26,11 @@
 
 /// Why a parameter cannot be set.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ParameterRefusal {
+pub enum ParameterError {
     /// The parameter would change results on pooled connections.
-    NotOffered,
+    Unsupported,
     /// Only one value of the parameter works.
-    ValueFixed(&'static str),
+    FixedValue(&'static str),
 }
 
 /// Parameters of one session; nothing is stored until one is set.
@@ -40,8 +41,8 @@
 
 impl SessionParameters {
     /// Sets a parameter.
-    pub fn set(&mut self, name: &str, value: &str) -> Result<(), ParameterRefusal> {
-        if FREE.contains(&name) || name == STATEMENT_TIMEOUT {
+    pub fn set(&mut self, name: &str, value: &str) -> Result<(), ParameterError> {
+        if UNCHECKED_PARAMETERS.contains(&name) || name == STATEMENT_TIMEOUT {
             self.values.insert(name.to_owned(), value.to_owned());
             return Ok(());
         }
@@ -51,11 +52,12 @@
             "intervalstyle" => "postgres",
             "timezone" => "UTC",
             "standard_conforming_strings" => "on",
-            _ => return Err(ParameterRefusal::NotOffered),
+            _ => return Err(ParameterError::Unsupported),
         };
-        let plain = |text: &str| text.to_ascii_lowercase().replace(['-', ' '], "");
-        let accepted = plain(fixed).starts_with(&plain(value)) || plain(value) == "default";
-        if accepted { Ok(()) } else { Err(ParameterRefusal::ValueFixed(fixed)) }
+        let normalize = |text: &str| text.to_ascii_lowercase().replace(['-', ' '], "");
+        let accepted =
+            normalize(fixed).starts_with(&normalize(value)) || normalize(value) == "default";
+        if accepted { Ok(()) } else { Err(ParameterError::FixedValue(fixed)) }
     }
 
     /// Returns the value of a parameter, or none if there is no such parameter.
@@ -63,21 +65,22 @@
         if let Some(value) = self.values.get(name) {
             return Some(value);
         }
-        if FREE.contains(&name) {
+        if UNCHECKED_PARAMETERS.contains(&name) {
             return Some("");
         }
         if name == STATEMENT_TIMEOUT {
             return Some("0");
         }
-        let reported = REPORTED.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
+        let reported =
+            REPORTED_PARAMETERS.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
         reported.map(|(_, value)| *value)
     }
 
     /// Returns the limit on the time of a statement, in milliseconds.
     pub fn statement_timeout_ms(&self) -> Option<u64> {
         let text = self.values.get(STATEMENT_TIMEOUT)?;
-        let number = text.trim_end_matches("ms").trim_end_matches('s').trim();
-        let value: u64 = number.parse().ok()?;
+        let digits = text.trim_end_matches("ms").trim_end_matches('s').trim();
+        let value: u64 = digits.parse().ok()?;
         let seconds = text.ends_with('s') && !text.ends_with("ms");
         let millis = if seconds { value * 1_000 } else { value };
         (millis > 0).then_some(millis)
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -1,12 +1,12 @@
 //! Session of one caller, from the end of startup to the end of the connection.
 
-mod admit;
+mod admission;
 mod batch;
 mod exchange;
-mod local;
+mod in_doubt;
+mod local_response;
 mod request;
 mod serve;
-mod settle;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -30,13 +30,13 @@
 use crate::database::DatabaseHandle;
 use crate::instance::{InstancePhase, ProxyInstance};
 use crate::parameter::{SESSION_TOKEN, SessionParameters};
-use crate::startup::StartedCaller;
+use crate::startup::AuthenticatedCaller;
 
-use batch::{BatchMessage, CallerBatch, PreparedText};
+use batch::{BatchMessage, CallerBatch, PreparedStatement};
 use request::{CallerRequest, RequestBody};
 
 /// Bytes that the messages of one extended exchange may have together.
-const BATCH_LIMIT_BYTES: usize = 32 * 1024 * 1024;
+const MAX_BATCH_BYTES: usize = 32 * 1024 * 1024;
 
 /// Why a session ends.
 #[derive(Debug)]
@@ -70,9 +70,9 @@
 /// Connection that a transaction or an unfinished exchange holds.
 struct PinnedConnection {
     connection: PooledConnection,
-    member: usize,
+    member_index: usize,
     /// Tells that a sync is still due, so the connection stays pinned outside transactions too.
-    unfinished: bool,
+    awaiting_sync: bool,
 }
 
 /// Session of one caller.
@@ -83,20 +83,20 @@
     phases: watch::Receiver<InstancePhase>,
     team: TeamId,
     key: Option<KeyHash>,
-    revision: u64,
-    entry: Arc<DatabaseEntry>,
+    checked_revision: u64,
+    database_entry: Arc<DatabaseEntry>,
     database: Arc<DatabaseHandle>,
     positions: SessionPositions,
-    positions_moved: bool,
+    positions_changed: bool,
     began_at: Instant,
     parameters: SessionParameters,
-    prepared: HashMap<String, Arc<PreparedText>>,
+    prepared_statements: HashMap<String, Arc<PreparedStatement>>,
     batch: CallerBatch,
     pinned: Option<Box<PinnedConnection>>,
-    block: TransactionState,
+    transaction_state: TransactionState,
     /// Tells that messages are ignored until the next sync.
-    skipping: bool,
-    registration: CancelRegistration,
+    skipping_to_sync: bool,
+    cancel_registration: CancelRegistration,
 }
 
 impl CallerSession {
@@ -104,10 +104,10 @@
     pub fn new(
         socket: FramedSocket,
         instance: Arc<ProxyInstance>,
-        caller: StartedCaller,
+        caller: AuthenticatedCaller,
     ) -> Option<Self> {
         let catalog = instance.catalog();
-        let entry = catalog.database(caller.identity.database)?.clone();
+        let database_entry = catalog.database(caller.identity.database)?.clone();
         let database = instance.database(caller.identity.database)?;
         Some(Self {
             socket,
@@ -116,19 +116,19 @@
             team: caller.identity.team,
             key: caller.identity.key,
             // Zero makes the first request check the key against the document in force then.
-            revision: 0,
-            entry,
+            checked_revision: 0,
+            database_entry,
             database,
             positions: caller.positions,
-            positions_moved: false,
+            positions_changed: false,
             began_at: instance.now(),
             parameters: caller.parameters,
-            prepared: HashMap::new(),
+            prepared_statements: HashMap::new(),
             batch: CallerBatch::default(),
             pinned: None,
-            block: TransactionState::Idle,
-            skipping: false,
-            registration: caller.registration,
+            transaction_state: TransactionState::Idle,
+            skipping_to_sync: false,
+            cancel_registration: caller.cancel_registration,
             instance,
         })
     }
@@ -141,7 +141,7 @@
                 Err(end) => break end,
             };
             // Boxed, so that an idle session does not keep the space of a running request.
-            if let Err(end) = Box::pin(self.handle(frame)).await {
+            if let Err(end) = Box::pin(self.handle_frame(frame)).await {
                 break end;
             }
         };
@@ -153,7 +153,7 @@
                 self.socket.shutdown().await;
             }
         }
-        log_event!(LogEvent::SessionClosed, "process={}", self.registration.process());
+        log_event!(LogEvent::SessionClosed, "process={}", self.cancel_registration.process_id());
     }
 
     /// Waits for the next message; an idle session ends when the instance drains.
@@ -162,12 +162,13 @@
             if let Some(frame) = self.socket.take_frame()? {
                 return Ok(frame);
             }
-            let idle = self.pinned.is_none() && self.batch.is_empty();
-            let last = if idle { InstancePhase::Draining } else { InstancePhase::Closed };
+            let is_idle = self.pinned.is_none() && self.batch.is_empty();
+            let closing_phase =
+                if is_idle { InstancePhase::Draining } else { InstancePhase::Closed };
             tokio::select! {
                 biased;
                 filled = self.socket.fill() => filled?,
-                _ = self.phases.wait_for(|phase| *phase >= last) => {
+                _ = self.phases.wait_for(|phase| *phase >= closing_phase) => {
                     let reason = RefusalReason::Stopping;
                     let refusal = RequestRefusal::new(reason, "the instance is stopping");
                     return Err(SessionEnd::Refused(refusal));
@@ -176,19 +177,19 @@
         }
     }
 
-    async fn handle(&mut self, frame: RawFrame) -> Result<(), SessionEnd> {
+    async fn handle_frame(&mut self, frame: RawFrame) -> Result<(), SessionEnd> {
         match frame.tag {
             frontend::TERMINATE => Err(SessionEnd::Closed),
             frontend::SYNC => {
-                if std::mem::take(&mut self.skipping) {
+                if std::mem::take(&mut self.skipping_to_sync) {
                     self.batch.clear();
-                    return self.finish().await;
+                    return self.complete_exchange().await;
                 }
                 let batch = std::mem::take(&mut self.batch);
                 self.serve_batch(batch, true).await
             }
             // Messages after an error are ignored up to the sync.
-            _ if self.skipping => Ok(()),
+            _ if self.skipping_to_sync => Ok(()),
             frontend::FLUSH => {
                 let batch = std::mem::take(&mut self.batch);
                 self.serve_batch(batch, false).await
@@ -197,13 +198,13 @@
                 let text = frontend::read_query(&frame)?;
                 let class = self.instance.statements.classify(text);
                 let body = RequestBody::Simple(frame);
-                self.serve(CallerRequest { body, class, synced: true }).await
+                self.serve(CallerRequest { body, class, ends_with_sync: true }).await
             }
             frontend::PARSE
             | frontend::BIND
             | frontend::DESCRIBE
             | frontend::EXECUTE
-            | frontend::CLOSE => self.collect(frame),
+            | frontend::CLOSE => self.add_to_batch(frame),
             // Copy messages that arrive after a refused copy are to be ignored.
             b'd' | b'c' | b'f' => Ok(()),
             tag => {
@@ -215,45 +216,54 @@
     }
 
     /// Adds a message to the extended exchange under way.
-    fn collect(&mut self, frame: RawFrame) -> Result<(), SessionEnd> {
-        if self.batch.bytes() + frame.bytes.len() > BATCH_LIMIT_BYTES {
-            let detail = format!("an exchange may have {BATCH_LIMIT_BYTES} bytes before its sync");
+    fn add_to_batch(&mut self, frame: RawFrame) -> Result<(), SessionEnd> {
+        if self.batch.bytes() + frame.bytes.len() > MAX_BATCH_BYTES {
+            let detail =
+                format!("extended-query messages before a sync exceed {MAX_BATCH_BYTES} bytes");
             let refusal = RequestRefusal::new(RefusalReason::MessageTooLarge, detail);
             return Err(SessionEnd::Refused(refusal));
         }
-        let statements = &self.instance.statements;
-        match BatchMessage::read(frame, statements, &mut self.prepared)? {
+        let statement_cache = &self.instance.statements;
+        match BatchMessage::read(frame, statement_cache, &mut self.prepared_statements)? {
             Ok(message) => self.batch.push(message),
-            Err(missing) => {
+            Err(statement_name) => {
                 // What came before is dropped unsent; the caller sees one error and a sync.
                 self.batch.clear();
-                self.skipping = true;
-                let detail = format!("prepared statement {missing:?} does not exist");
+                self.skipping_to_sync = true;
+                let detail = format!("prepared statement {statement_name:?} does not exist");
                 backend::put_error(&mut self.output, "26000", &detail);
                 if self.pinned.is_some() {
-                    self.lose_transaction();
+                    self.fail_transaction();
                 }
             }
         }
         Ok(())
     }
 
-    async fn serve_batch(&mut self, batch: CallerBatch, synced: bool) -> Result<(), SessionEnd> {
-        if batch.is_empty() && self.pinned.as_ref().is_none_or(|pinned| !pinned.unfinished) {
-            return if synced { self.finish().await } else { self.flush().await };
+    async fn serve_batch(
+        &mut self,
+        batch: CallerBatch,
+        ends_with_sync: bool,
+    ) -> Result<(), SessionEnd> {
+        if batch.is_empty() && self.pinned.as_ref().is_none_or(|pinned| !pinned.awaiting_sync) {
+            return if ends_with_sync {
+                self.complete_exchange().await
+            } else {
+                self.flush().await
+            };
         }
         let class = batch.class();
         let body = RequestBody::Batch(batch);
-        self.serve(CallerRequest { body, class, synced }).await
+        self.serve(CallerRequest { body, class, ends_with_sync }).await
     }
 
     /// Ends an exchange towards the caller: token if it moved, transaction state, flush.
-    async fn finish(&mut self) -> Result<(), SessionEnd> {
-        if std::mem::take(&mut self.positions_moved) {
+    async fn complete_exchange(&mut self) -> Result<(), SessionEnd> {
+        if std::mem::take(&mut self.positions_changed) {
             let token = self.instance.tokens.encode(&self.positions);
             backend::put_parameter_status(&mut self.output, SESSION_TOKEN, &token);
         }
-        backend::put_ready_for_query(&mut self.output, self.block);
+        backend::put_ready_for_query(&mut self.output, self.transaction_state);
         self.flush().await
     }
 
@@ -266,27 +276,31 @@
     }
 
     /// Gives up the pinned connection, which rolls its transaction back.
-    fn lose_transaction(&mut self) {
+    fn fail_transaction(&mut self) {
         if let Some(pinned) = self.pinned.take() {
             drop(pinned);
-            self.block = TransactionState::Failed;
+            self.transaction_state = TransactionState::Failed;
         }
     }
 
     /// Tells the caller that its request was refused.
-    async fn refuse(&mut self, refusal: RequestRefusal, synced: bool) -> Result<(), SessionEnd> {
+    async fn send_refusal(
+        &mut self,
+        refusal: RequestRefusal,
+        ends_with_sync: bool,
+    ) -> Result<(), SessionEnd> {
         self.instance.counters.refused(refusal.reason);
         log_event!(
             LogEvent::RequestRefused,
             "reason={} process={}",
             refusal.reason.label(),
-            self.registration.process()
+            self.cancel_registration.process_id()
         );
         backend::put_refusal(&mut self.output, &refusal, false);
-        if synced {
-            return self.finish().await;
+        if ends_with_sync {
+            return self.complete_exchange().await;
         }
-        self.skipping = true;
+        self.skipping_to_sync = true;
         self.flush().await
     }
 }
--- a/crates/proxy/src/session/admit.rs
+++ b/crates/proxy/src/session/admission.rs
@@ -14,59 +14,62 @@
 use crate::share;
 
 /// Time for which a request waits for a share that another instance is expected to give.
-const SHARE_PATIENCE: Duration = Duration::from_millis(100);
+const SHARE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Interval at which such a request looks for tokens.
-const SHARE_POLL: Duration = Duration::from_millis(10);
+const SHARE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Rules under which a request runs.
-pub(super) struct RequestTerms {
+pub(super) struct RequestPolicy {
     /// Route that matches, if any.
     pub(super) route: Option<Arc<RouteEntry>>,
     /// Time up to which the request may run.
     pub(super) deadline: Instant,
 }
 
-impl RequestTerms {
+impl RequestPolicy {
     /// Tells whether the route lets the request be repeated.
-    pub(super) fn idempotent(&self) -> bool {
+    pub(super) fn is_idempotent(&self) -> bool {
         self.route.as_ref().is_some_and(|route| route.idempotent)
     }
 
     /// Returns the age of data that the route accepts.
-    pub(super) fn stated_age(&self) -> Option<Duration> {
+    pub(super) fn max_staleness(&self) -> Option<Duration> {
         self.route.as_ref().and_then(|route| route.max_staleness)
     }
 }
 
 impl CallerSession {
     /// Checks team and key against the document in force; a withdrawn key ends the session.
-    pub(super) fn check_key(&mut self) -> Result<(), SessionEnd> {
+    pub(super) fn check_access(&mut self) -> Result<(), SessionEnd> {
         let revision = self.instance.revision();
-        if revision == self.revision {
+        if revision == self.checked_revision {
             return Ok(());
         }
         let catalog = self.instance.catalog();
-        let end =
+        let refuse =
             |reason, detail: &str| Err(SessionEnd::Refused(RequestRefusal::new(reason, detail)));
         let Some(team) = catalog.team(self.team) else {
-            return end(RefusalReason::KeyRevoked, "the team is no longer declared");
+            return refuse(RefusalReason::KeyRevoked, "the team is no longer declared");
         };
         if self.key.is_some_and(|key| !team.keys.contains(&key)) {
-            return end(RefusalReason::KeyRevoked, "the key was withdrawn");
+            return refuse(RefusalReason::KeyRevoked, "the key was withdrawn");
         }
         let found = catalog.database(self.database.key);
         let handle = self.instance.database(self.database.key);
-        let (Some(entry), Some(handle)) = (found, handle) else {
-            return end(RefusalReason::UnknownDatabase, "the database is no longer declared");
+        let (Some(database_entry), Some(handle)) = (found, handle) else {
+            return refuse(RefusalReason::UnknownDatabase, "the database is no longer declared");
         };
         let allowed = team.databases.is_empty()
-            || team.databases.iter().any(|allowed| **allowed == *entry.name);
+            || team.databases.iter().any(|allowed| **allowed == *database_entry.name);
         if !allowed {
-            return end(RefusalReason::DatabaseDenied, "the team may no longer use the database");
+            return refuse(
+                RefusalReason::DatabaseDenied,
+                "the team may no longer use the database",
+            );
         }
-        self.entry = entry.clone();
+        self.database_entry = database_entry.clone();
         self.database = handle;
-        self.revision = revision;
+        self.checked_revision = revision;
         Ok(())
     }
 
@@ -74,14 +77,14 @@
     pub(super) async fn admit(
         &mut self,
         request: &CallerRequest,
-    ) -> Result<RequestTerms, RequestRefusal> {
+    ) -> Result<RequestPolicy, RequestRefusal> {
         let class = &request.class;
         if class.kind == StatementKind::Unsupported {
             let detail = format!("{} is not offered by the proxy", class.unsupported_feature);
             return Err(RequestRefusal::new(RefusalReason::Unsupported, detail));
         }
         if self.pinned.is_none() {
-            self.check_open_for_work()?;
+            self.check_accepts_requests()?;
         }
         if self.key.is_some() && !self.instance.is_document_valid(self.instance.now()) {
             let detail = "the instance cannot tell whether the key is still in force";
@@ -89,26 +92,29 @@
         }
         let kind =
             if class.kind == StatementKind::Read { RouteKind::Read } else { RouteKind::Write };
-        let route = self.entry.find_route(kind, &class.tables).cloned();
-        let open = route.as_ref().is_some_and(|route| route.allows_anonymous);
-        if self.key.is_none() && !open {
+        let route = self.database_entry.find_route(kind, &class.tables).cloned();
+        let allows_anonymous = route.as_ref().is_some_and(|route| route.allows_anonymous);
+        if self.key.is_none() && !allows_anonymous {
             let detail = "the statement is not on a route that is open to all";
             return Err(RequestRefusal::new(RefusalReason::RouteClosed, detail));
         }
-        let limit = route.as_ref().and_then(|route| route.deadline).unwrap_or(self.entry.deadline);
-        let own = self.parameters.statement_timeout_ms().map(Duration::from_millis);
-        let deadline = self.instance.now() + own.map_or(limit, |own| own.min(limit));
+        let max_duration =
+            route.as_ref().and_then(|route| route.deadline).unwrap_or(self.database_entry.deadline);
+        let statement_timeout = self.parameters.statement_timeout_ms().map(Duration::from_millis);
+        let deadline = self.instance.now()
+            + statement_timeout
+                .map_or(max_duration, |statement_timeout| statement_timeout.min(max_duration));
         self.take_tokens(request.cost(), deadline).await?;
-        Ok(RequestTerms { route, deadline })
+        Ok(RequestPolicy { route, deadline })
     }
 
-    fn check_open_for_work(&self) -> Result<(), RequestRefusal> {
+    fn check_accepts_requests(&self) -> Result<(), RequestRefusal> {
         if self.instance.phase() >= InstancePhase::Draining {
             let detail = "the instance is stopping";
             return Err(RequestRefusal::new(RefusalReason::Stopping, detail));
         }
-        if self.entry.leaving {
-            let detail = format!("database {:?} takes no new work", self.entry.name);
+        if self.database_entry.leaving {
+            let detail = format!("database {:?} takes no new work", self.database_entry.name);
             return Err(RequestRefusal::new(RefusalReason::DatabaseLeaving, detail));
         }
         Ok(())
@@ -122,22 +128,22 @@
             return Ok(());
         }
         let instance = self.instance.clone();
-        let asked_at = instance.now();
-        if !instance.is_epoch_valid(asked_at) {
+        let requested_at = instance.now();
+        if !instance.is_epoch_valid(requested_at) {
             let detail = "the instance cannot tell whether its share of the rate is still valid";
             return Err(RequestRefusal::new(RefusalReason::KeyNotValidated, detail));
         }
-        let mut taken = instance.limiter.take(self.team, cost, asked_at);
+        let mut result = instance.limiter.take(self.team, cost, requested_at);
         loop {
-            let Err(delay) = taken else {
+            let Err(delay) = result else {
                 return Ok(());
             };
             instance.book.note_shortage(self.team);
             let now = instance.now();
-            let hopes =
-                now < asked_at + SHARE_PATIENCE && share::is_gift_expected(&instance, self.team);
-            if hopes {
-                instance.book.wait_for_arrival(SHARE_POLL).await;
+            let grant_expected =
+                now < requested_at + SHARE_TIMEOUT && share::is_gift_expected(&instance, self.team);
+            if grant_expected {
+                instance.book.wait_for_arrival(SHARE_POLL_INTERVAL).await;
             } else if self.pinned.is_some() && now + delay.retry_after <= deadline {
                 tokio::time::sleep(delay.retry_after).await;
             } else {
@@ -145,7 +151,7 @@
                 let refusal = RequestRefusal::new(RefusalReason::RateExceeded, detail);
                 return Err(refusal.with_retry_after(delay.retry_after));
             }
-            taken = instance.limiter.retake(self.team, cost, instance.now());
+            result = instance.limiter.retake(self.team, cost, instance.now());
         }
     }
 }
--- a/crates/proxy/src/session/batch.rs
+++ b/crates/proxy/src/session/batch.rs
@@ -12,22 +12,22 @@
 
 /// Statement prepared by a session.
 #[derive(Debug)]
-pub(super) struct PreparedText {
+pub(super) struct PreparedStatement {
     id: u64,
     query: String,
-    types: Vec<u8>,
+    parameter_types: Vec<u8>,
     class: Arc<StatementClass>,
 }
 
-impl PreparedText {
-    fn new(fields: &ParseFields<'_>, statements: &StatementCache) -> Self {
+impl PreparedStatement {
+    fn new(fields: &ParseFields<'_>, statement_cache: &StatementCache) -> Self {
         let mut hasher = DefaultHasher::new();
         (fields.query, fields.parameter_types).hash(&mut hasher);
         Self {
             id: hasher.finish(),
             query: fields.query.to_owned(),
-            types: fields.parameter_types.to_vec(),
-            class: statements.classify(fields.query),
+            parameter_types: fields.parameter_types.to_vec(),
+            class: statement_cache.classify(fields.query),
         }
     }
 
@@ -45,14 +45,14 @@
         /// Tells that the statement has a name.
         named: bool,
         /// Statement.
-        text: Arc<PreparedText>,
+        statement: Arc<PreparedStatement>,
     },
     /// Binds a statement to a portal.
     Bind {
         /// Tells that the statement has a name.
         named: bool,
         /// Statement.
-        text: Arc<PreparedText>,
+        statement: Arc<PreparedStatement>,
         /// Message as it came.
         frame: RawFrame,
     },
@@ -61,7 +61,7 @@
         /// Tells that the statement has a name.
         named: bool,
         /// Statement.
-        text: Arc<PreparedText>,
+        statement: Arc<PreparedStatement>,
     },
     /// Forgets a statement.
     CloseStatement,
@@ -77,24 +77,27 @@
     /// Reads a message; the inner error names a statement that was never prepared.
     pub(super) fn read(
         frame: RawFrame,
-        statements: &StatementCache,
-        prepared: &mut HashMap<String, Arc<PreparedText>>,
+        statement_cache: &StatementCache,
+        prepared_statements: &mut HashMap<String, Arc<PreparedStatement>>,
     ) -> Result<Result<Self, String>, FieldError> {
-        let find = |name: &str, prepared: &HashMap<String, Arc<PreparedText>>| {
-            prepared.get(name).cloned().ok_or_else(|| name.to_owned())
-        };
+        let find_statement =
+            |name: &str, prepared_statements: &HashMap<String, Arc<PreparedStatement>>| {
+                prepared_statements.get(name).cloned().ok_or_else(|| name.to_owned())
+            };
         let message = match frame.tag {
             frontend::PARSE => {
                 let fields = frontend::read_parse(&frame)?;
-                let text = Arc::new(PreparedText::new(&fields, statements));
-                prepared.insert(fields.name.to_owned(), text.clone());
-                Ok(Self::Parse { named: !fields.name.is_empty(), text })
+                let statement = Arc::new(PreparedStatement::new(&fields, statement_cache));
+                prepared_statements.insert(fields.name.to_owned(), statement.clone());
+                Ok(Self::Parse { named: !fields.name.is_empty(), statement })
             }
             frontend::BIND => {
                 let fields = frontend::read_bind(&frame)?;
-                let (named, text) =
-                    (!fields.statement.is_empty(), find(fields.statement, prepared));
-                text.map(|text| Self::Bind { named, text, frame })
+                let (named, statement) = (
+                    !fields.statement.is_empty(),
+                    find_statement(fields.statement, prepared_statements),
+                );
+                statement.map(|statement| Self::Bind { named, statement, frame })
             }
             frontend::EXECUTE => {
                 frontend::read_execute(&frame)?;
@@ -103,11 +106,14 @@
             tag => {
                 let ObjectFields { kind, name } = frontend::read_object(&frame)?;
                 match (tag, kind) {
-                    (frontend::DESCRIBE, ObjectKind::Statement) => find(name, prepared)
-                        .map(|text| Self::DescribeStatement { named: !name.is_empty(), text }),
+                    (frontend::DESCRIBE, ObjectKind::Statement) => {
+                        find_statement(name, prepared_statements).map(|statement| {
+                            Self::DescribeStatement { named: !name.is_empty(), statement }
+                        })
+                    }
                     (frontend::DESCRIBE, ObjectKind::Portal) => Ok(Self::DescribePortal(frame)),
                     (_, ObjectKind::Statement) => {
-                        prepared.remove(name);
+                        prepared_statements.remove(name);
                         Ok(Self::CloseStatement)
                     }
                     (_, ObjectKind::Portal) => Ok(Self::ClosePortal(frame)),
@@ -119,7 +125,7 @@
 
     fn bytes(&self) -> usize {
         match self {
-            Self::Parse { text, .. } => text.query.len(),
+            Self::Parse { statement, .. } => statement.query.len(),
             Self::Bind { frame, .. }
             | Self::DescribePortal(frame)
             | Self::Execute(frame)
@@ -130,9 +136,9 @@
 
     fn class(&self) -> Option<&Arc<StatementClass>> {
         match self {
-            Self::Parse { text, .. }
-            | Self::Bind { text, .. }
-            | Self::DescribeStatement { text, .. } => Some(&text.class),
+            Self::Parse { statement, .. }
+            | Self::Bind { statement, .. }
+            | Self::DescribeStatement { statement, .. } => Some(&statement.class),
             _ => None,
         }
     }
@@ -140,18 +146,18 @@
 
 /// Reply that a message sent to a member leads to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum ReplyStep {
+pub(super) enum ExpectedResponse {
     /// Completion of a parse; the statement with this identifier is prepared then.
-    Parsed {
+    ParseComplete {
         /// Identifier of a named statement.
         id: Option<u64>,
         /// Tells that the caller did not ask for it.
-        hidden: bool,
+        suppressed: bool,
     },
     /// Reply that ends with one of the message types of its request.
     Relayed,
     /// Reply that the proxy gives itself.
-    Given(u8),
+    Synthesized(u8),
 }
 
 /// Messages of an extended exchange up to a sync or flush.
@@ -189,16 +195,16 @@
     }
 
     /// Returns the number of portals that run.
-    pub(super) fn executions(&self) -> usize {
-        let runs = |message: &&BatchMessage| matches!(message, BatchMessage::Execute(_));
-        self.messages.iter().filter(runs).count()
+    pub(super) fn execute_count(&self) -> usize {
+        let is_execute = |message: &&BatchMessage| matches!(message, BatchMessage::Execute(_));
+        self.messages.iter().filter(is_execute).count()
     }
 
     /// Returns what running the batch does; one that runs nothing counts as a read.
     pub(super) fn class(&self) -> Arc<StatementClass> {
         let mut distinct: Vec<&Arc<StatementClass>> = Vec::new();
         for class in self.messages.iter().filter_map(BatchMessage::class) {
-            if !distinct.iter().any(|known| Arc::ptr_eq(known, class)) {
+            if !distinct.iter().any(|other| Arc::ptr_eq(other, class)) {
                 distinct.push(class);
             }
         }
@@ -215,91 +221,103 @@
     /// Writes the batch for a connection on which `known` statements are prepared.
     pub(super) fn encode(
         &self,
-        known: &HashSet<u64>,
+        connection_statements: &HashSet<u64>,
         output: &mut BytesMut,
-    ) -> VecDeque<ReplyStep> {
+    ) -> VecDeque<ExpectedResponse> {
         let mut encoder = BatchEncoder {
-            known,
+            connection_statements,
             output,
-            steps: VecDeque::with_capacity(self.messages.len() + 1),
-            parsed: HashSet::new(),
-            unnamed: None,
+            expected: VecDeque::with_capacity(self.messages.len() + 1),
+            newly_prepared: HashSet::new(),
+            unnamed_statement: None,
         };
-        self.messages.iter().for_each(|message| encoder.put(message));
-        encoder.steps
+        self.messages.iter().for_each(|message| encoder.encode_message(message));
+        encoder.expected
     }
 }
 
 /// Rewrites statement names and prepares what a pooled connection lacks.
 struct BatchEncoder<'a> {
-    known: &'a HashSet<u64>,
+    connection_statements: &'a HashSet<u64>,
     output: &'a mut BytesMut,
-    steps: VecDeque<ReplyStep>,
-    parsed: HashSet<u64>,
-    unnamed: Option<u64>,
+    expected: VecDeque<ExpectedResponse>,
+    newly_prepared: HashSet<u64>,
+    unnamed_statement: Option<u64>,
 }
 
 impl BatchEncoder<'_> {
-    fn put(&mut self, message: &BatchMessage) {
+    fn encode_message(&mut self, message: &BatchMessage) {
         match message {
-            BatchMessage::Parse { named: true, text } if self.is_prepared(text) => {
-                self.steps.push_back(ReplyStep::Given(backend::PARSE_COMPLETE));
+            BatchMessage::Parse { named: true, statement } if self.is_prepared(statement) => {
+                self.expected.push_back(ExpectedResponse::Synthesized(backend::PARSE_COMPLETE));
             }
-            BatchMessage::Parse { named, text } => self.parse(*named, text, false),
-            BatchMessage::Bind { named, text, frame } => {
-                self.prepare(*named, text);
+            BatchMessage::Parse { named, statement } => self.encode_parse(*named, statement, false),
+            BatchMessage::Bind { named, statement, frame } => {
+                self.ensure_prepared(*named, statement);
                 let Ok(fields) = frontend::read_bind(frame) else {
                     return;
                 };
-                let statement = remote(*named, text);
-                let fields = BindFields { statement: &statement, ..fields };
+                let name = remote_statement_name(*named, statement);
+                let fields = BindFields { statement: &name, ..fields };
                 frontend::put_bind(self.output, &fields);
-                self.steps.push_back(ReplyStep::Relayed);
+                self.expected.push_back(ExpectedResponse::Relayed);
             }
-            BatchMessage::DescribeStatement { named, text } => {
-                self.prepare(*named, text);
-                let name = remote(*named, text);
+            BatchMessage::DescribeStatement { named, statement } => {
+                self.ensure_prepared(*named, statement);
+                let name = remote_statement_name(*named, statement);
                 let fields = ObjectFields { kind: ObjectKind::Statement, name: &name };
                 frontend::put_object(self.output, frontend::DESCRIBE, &fields);
-                self.steps.push_back(ReplyStep::Relayed);
+                self.expected.push_back(ExpectedResponse::Relayed);
             }
             // The member keeps the statement for other sessions that prepare the same text.
             BatchMessage::CloseStatement => {
-                self.steps.push_back(ReplyStep::Given(backend::CLOSE_COMPLETE))
+                self.expected.push_back(ExpectedResponse::Synthesized(backend::CLOSE_COMPLETE))
             }
             BatchMessage::DescribePortal(frame)
             | BatchMessage::Execute(frame)
             | BatchMessage::ClosePortal(frame) => {
                 self.output.extend_from_slice(&frame.bytes);
-                self.steps.push_back(ReplyStep::Relayed);
+                self.expected.push_back(ExpectedResponse::Relayed);
             }
         }
     }
 
-    fn is_prepared(&self, text: &PreparedText) -> bool {
-        self.known.contains(&text.id) || self.parsed.contains(&text.id)
+    fn is_prepared(&self, statement: &PreparedStatement) -> bool {
+        self.connection_statements.contains(&statement.id)
+            || self.newly_prepared.contains(&statement.id)
     }
 
-    fn prepare(&mut self, named: bool, text: &PreparedText) {
-        let ready = if named { self.is_prepared(text) } else { self.unnamed == Some(text.id) };
-        if !ready {
-            self.parse(named, text, true);
+    fn ensure_prepared(&mut self, named: bool, statement: &PreparedStatement) {
+        let is_ready = if named {
+            self.is_prepared(statement)
+        } else {
+            self.unnamed_statement == Some(statement.id)
+        };
+        if !is_ready {
+            self.encode_parse(named, statement, true);
         }
     }
 
-    fn parse(&mut self, named: bool, text: &PreparedText, hidden: bool) {
-        let name = remote(named, text);
-        let fields = ParseFields { name: &name, query: &text.query, parameter_types: &text.types };
+    fn encode_parse(&mut self, named: bool, statement: &PreparedStatement, suppressed: bool) {
+        let name = remote_statement_name(named, statement);
+        let fields = ParseFields {
+            name: &name,
+            query: &statement.query,
+            parameter_types: &statement.parameter_types,
+        };
         frontend::put_parse(self.output, &fields);
         if named {
-            self.parsed.insert(text.id);
+            self.newly_prepared.insert(statement.id);
         } else {
-            self.unnamed = Some(text.id);
+            self.unnamed_statement = Some(statement.id);
         }
-        self.steps.push_back(ReplyStep::Parsed { id: named.then_some(text.id), hidden });
+        self.expected.push_back(ExpectedResponse::ParseComplete {
+            id: named.then_some(statement.id),
+            suppressed,
+        });
     }
 }
 
-fn remote(named: bool, text: &PreparedText) -> String {
-    if named { text.remote_name() } else { String::new() }
+fn remote_statement_name(named: bool, statement: &PreparedStatement) -> String {
+    if named { statement.remote_name() } else { String::new() }
 }
--- a/crates/proxy/src/session/exchange.rs
+++ b/crates/proxy/src/session/exchange.rs
@@ -13,15 +13,15 @@
 use wire::frontend;
 use wire::group::{GroupCommand, NOT_PRIMARY};
 
-use super::batch::ReplyStep;
+use super::batch::ExpectedResponse;
 use super::request::{CallerRequest, RequestBody};
 
 /// Bytes of an answer that are collected before they go to the caller.
-const RELAY_BYTES: usize = 32 * 1024;
+const RELAY_THRESHOLD_BYTES: usize = 32 * 1024;
 /// Bytes of an unconfirmed answer that are held back at most.
-const HOLD_BYTES: usize = 4 * 1024 * 1024;
+const MAX_UNCONFIRMED_BYTES: usize = 4 * 1024 * 1024;
 /// Rows above this size pass through in pieces.
-const WHOLE_ROW_BYTES: usize = 256 * 1024;
+const MIN_STREAMED_ROW_BYTES: usize = 256 * 1024;
 /// Time without a byte after which an answer under way counts as lost.
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -29,13 +29,13 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ExchangePlan {
     /// Asks the primary to prove itself before the request runs.
-    pub(super) barrier: bool,
+    pub(super) confirm_leadership: bool,
     /// Label by which the outcome can be asked for later.
     pub(super) label: Option<String>,
     /// Waits until a majority holds what the request committed.
-    pub(super) confirm: bool,
+    pub(super) confirm_commit: bool,
     /// Position that the answering member must cover.
-    pub(super) floor: Option<LogPosition>,
+    pub(super) required_position: Option<LogPosition>,
     /// Tells that the request runs on a replica.
     pub(super) on_replica: bool,
     /// Tells that the request runs inside a transaction.
@@ -44,24 +44,24 @@
 
 impl ExchangePlan {
     /// Tells whether the answer stands by itself, without a proof by the primary.
-    pub(super) fn is_plain_read(&self) -> bool {
-        !self.confirm && !self.barrier && !self.in_transaction
+    pub(super) fn is_unconfirmed_read(&self) -> bool {
+        !self.confirm_commit && !self.confirm_leadership && !self.in_transaction
     }
 }
 
 /// How an exchange ended.
 #[derive(Debug)]
-pub(super) enum ExchangeEnd {
+pub(super) enum ExchangeOutcome {
     /// The answer is complete and stands in the caller's output.
     Complete,
     /// The member proved that it did not run the request.
-    NotRun,
+    NotExecuted,
     /// The member's data does not cover what the session has seen.
     Stale,
     /// The connection is of no more use.
-    Lost(MemberError),
+    ConnectionLost(MemberError),
     /// The caller is gone.
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// Answer on its way to the caller.
@@ -71,31 +71,31 @@
     /// Bytes not yet sent.
     pub(super) buffer: &'a mut BytesMut,
     /// Length of the buffer before the exchange.
-    pub(super) mark: usize,
+    pub(super) initial_len: usize,
     /// Tells that part of the answer has been sent; read while the exchange runs.
-    pub(super) sent: &'a AtomicBool,
+    pub(super) partly_sent: &'a AtomicBool,
     /// Tells that the whole answer came, though perhaps not its confirmation.
-    pub(super) answered: bool,
+    pub(super) response_complete: bool,
 }
 
 impl CallerOutput<'_> {
     /// Tells whether the caller has seen part of the answer.
-    pub(super) fn is_sent(&self) -> bool {
-        self.sent.load(Ordering::Relaxed)
+    pub(super) fn is_partly_sent(&self) -> bool {
+        self.partly_sent.load(Ordering::Relaxed)
     }
 
     /// Drops what the exchange wrote, unless the caller has already seen part of it.
-    pub(super) fn rewind(&mut self) {
-        if !self.is_sent() {
-            self.buffer.truncate(self.mark);
+    pub(super) fn discard_unsent(&mut self) {
+        if !self.is_partly_sent() {
+            self.buffer.truncate(self.initial_len);
         }
     }
 
-    async fn send_above(&mut self, limit: usize) -> Result<(), SocketError> {
-        if self.buffer.len() < limit {
+    async fn flush_at(&mut self, threshold: usize) -> Result<(), SocketError> {
+        if self.buffer.len() < threshold {
             return Ok(());
         }
-        self.sent.store(true, Ordering::Relaxed);
+        self.partly_sent.store(true, Ordering::Relaxed);
         self.socket.write(self.buffer).await?;
         self.buffer.clear();
         Ok(())
@@ -105,8 +105,8 @@
 /// Error inside a relay.
 enum RelayError {
     Member(MemberError),
-    Caller,
-    NotRun,
+    CallerDisconnected,
+    NotExecuted,
     Stale,
 }
 
@@ -118,7 +118,7 @@
 
 impl From<SocketError> for RelayError {
     fn from(_: SocketError) -> Self {
-        Self::Caller
+        Self::CallerDisconnected
     }
 }
 
@@ -129,14 +129,14 @@
     plan: &ExchangePlan,
     output: &mut CallerOutput<'_>,
     deadline: Instant,
-) -> ExchangeEnd {
+) -> ExchangeOutcome {
     let mut exchange = Exchange { connection, plan, output, deadline };
     match exchange.run(request).await {
-        Ok(()) => ExchangeEnd::Complete,
-        Err(RelayError::NotRun) => ExchangeEnd::NotRun,
-        Err(RelayError::Stale) => ExchangeEnd::Stale,
-        Err(RelayError::Caller) => ExchangeEnd::CallerGone,
-        Err(RelayError::Member(error)) => ExchangeEnd::Lost(error),
+        Ok(()) => ExchangeOutcome::Complete,
+        Err(RelayError::NotExecuted) => ExchangeOutcome::NotExecuted,
+        Err(RelayError::Stale) => ExchangeOutcome::Stale,
+        Err(RelayError::CallerDisconnected) => ExchangeOutcome::CallerDisconnected,
+        Err(RelayError::Member(error)) => ExchangeOutcome::ConnectionLost(error),
     }
 }
 
@@ -150,50 +150,50 @@
 impl Exchange<'_, '_> {
     async fn run(&mut self, request: &CallerRequest) -> Result<(), RelayError> {
         let mut bytes = BytesMut::new();
-        if self.plan.barrier {
+        if self.plan.confirm_leadership {
             frontend::put_query(&mut bytes, &GroupCommand::Confirm.to_string());
         }
         if let Some(label) = &self.plan.label {
             frontend::put_query(&mut bytes, &GroupCommand::Label(label.clone()).to_string());
         }
-        let mut steps = match &request.body {
+        let mut expected = match &request.body {
             RequestBody::Simple(frame) => {
                 bytes.extend_from_slice(&frame.bytes);
                 VecDeque::new()
             }
             RequestBody::Batch(batch) => {
-                let steps = batch.encode(&self.connection.prepared_statements, &mut bytes);
-                let end = if request.synced { frontend::SYNC } else { frontend::FLUSH };
-                frontend::put_empty(&mut bytes, end);
-                steps
+                let expected = batch.encode(&self.connection.prepared_statements, &mut bytes);
+                let end_tag = if request.ends_with_sync { frontend::SYNC } else { frontend::FLUSH };
+                frontend::put_empty(&mut bytes, end_tag);
+                expected
             }
         };
-        if self.plan.confirm {
+        if self.plan.confirm_commit {
             frontend::put_query(&mut bytes, &GroupCommand::Confirm.to_string());
         }
         self.connection.send(&bytes).await?;
-        if self.plan.barrier {
-            self.command_answer().await?;
+        if self.plan.confirm_leadership {
+            self.read_command_response().await?;
         }
         if self.plan.label.is_some() {
-            self.command_answer().await?;
+            self.read_command_response().await?;
         }
-        self.relay(&mut steps, request.synced).await?;
-        self.output.answered = true;
-        if self.plan.confirm {
-            self.command_answer().await?;
+        self.relay_responses(&mut expected, request.ends_with_sync).await?;
+        self.output.response_complete = true;
+        if self.plan.confirm_commit {
+            self.read_command_response().await?;
         }
         Ok(())
     }
 
     /// Reads the answer to a surrounding command; a refusal says that the primary was replaced.
-    async fn command_answer(&mut self) -> Result<(), RelayError> {
-        let answer =
+    async fn read_command_response(&mut self) -> Result<(), RelayError> {
+        let response =
             timeout_at(self.deadline.into(), self.connection.read_command_response()).await;
-        match answer {
+        match response {
             Ok(Ok(_)) => Ok(()),
-            Ok(Err(error)) if error.is_not_primary() && !self.output.answered => {
-                Err(RelayError::NotRun)
+            Ok(Err(error)) if error.is_not_primary() && !self.output.response_complete => {
+                Err(RelayError::NotExecuted)
             }
             Ok(Err(error)) => Err(error.into()),
             Err(_) => Err(MemberError::Timeout { limit: PROGRESS_TIMEOUT }.into()),
@@ -201,54 +201,58 @@
     }
 
     /// Relays replies up to the ready-for-query message, or up to the last step after a flush.
-    async fn relay(
+    async fn relay_responses(
         &mut self,
-        steps: &mut VecDeque<ReplyStep>,
-        synced: bool,
+        expected: &mut VecDeque<ExpectedResponse>,
+        ends_with_sync: bool,
     ) -> Result<(), RelayError> {
-        let mut first = true;
+        let mut is_first = true;
         loop {
-            self.give_replies(steps);
-            if !synced && steps.is_empty() {
+            self.put_synthesized(expected);
+            if !ends_with_sync && expected.is_empty() {
                 return Ok(());
             }
-            self.relay_large_row().await?;
+            self.stream_large_row().await?;
             let Some(frame) = self.connection.take_frame()? else {
-                self.fill(first).await?;
+                self.fill_input(is_first).await?;
                 continue;
             };
             match frame.tag {
                 backend::PARAMETER_STATUS | backend::NOTIFICATION_RESPONSE => continue,
                 backend::READY_FOR_QUERY => {
-                    self.give_all(steps);
+                    self.put_remaining_synthesized(expected);
                     return Ok(());
                 }
                 backend::ERROR_RESPONSE
-                    if first
+                    if is_first
                         && !self.plan.in_transaction
                         && backend::read_error_field(frame.body(), b'C') == Some(NOT_PRIMARY) =>
                 {
-                    return Err(RelayError::NotRun);
+                    return Err(RelayError::NotExecuted);
                 }
                 _ => {}
             }
-            if first {
-                self.check_floor()?;
-                first = false;
+            if is_first {
+                self.check_position()?;
+                is_first = false;
             }
-            if self.note_step(frame.tag, steps) {
+            if self.track_response(frame.tag, expected) {
                 self.output.buffer.extend_from_slice(&frame.bytes);
-                let limit = if self.plan.confirm { HOLD_BYTES } else { RELAY_BYTES };
-                self.output.send_above(limit).await?;
+                let threshold = if self.plan.confirm_commit {
+                    MAX_UNCONFIRMED_BYTES
+                } else {
+                    RELAY_THRESHOLD_BYTES
+                };
+                self.output.flush_at(threshold).await?;
             }
-            if frame.tag == backend::ERROR_RESPONSE && !synced {
+            if frame.tag == backend::ERROR_RESPONSE && !ends_with_sync {
                 return Ok(());
             }
         }
     }
 
-    async fn fill(&mut self, first: bool) -> Result<(), RelayError> {
-        let filled = if first {
+    async fn fill_input(&mut self, is_first: bool) -> Result<(), RelayError> {
+        let filled = if is_first {
             timeout_at(self.deadline.into(), self.connection.fill()).await
         } else {
             timeout(PROGRESS_TIMEOUT, self.connection.fill()).await
@@ -259,45 +263,45 @@
         }
     }
 
-    fn check_floor(&self) -> Result<(), RelayError> {
-        let Some(floor) = self.plan.floor else {
+    fn check_position(&self) -> Result<(), RelayError> {
+        let Some(required_position) = self.plan.required_position else {
             return Ok(());
         };
         match self.connection.position() {
-            Some(position) if position.has_applied(floor) => Ok(()),
+            Some(position) if position.has_applied(required_position) => Ok(()),
             _ => Err(RelayError::Stale),
         }
     }
 
     /// Passes a row through in pieces if it is too large to be collected.
-    async fn relay_large_row(&mut self) -> Result<(), RelayError> {
+    async fn stream_large_row(&mut self) -> Result<(), RelayError> {
         let Some(header) = self.connection.peek_header()? else {
             return Ok(());
         };
         if header.tag != backend::DATA_ROW
-            || header.total_bytes < WHOLE_ROW_BYTES
-            || self.plan.confirm
+            || header.total_bytes < MIN_STREAMED_ROW_BYTES
+            || self.plan.confirm_commit
         {
             return Ok(());
         }
-        self.check_floor()?;
-        let mut missing = header.total_bytes;
-        while missing > 0 {
+        self.check_position()?;
+        let mut remaining = header.total_bytes;
+        while remaining > 0 {
             let input = self.connection.input();
-            let piece = input.split_to(missing.min(input.len()));
-            missing -= piece.len();
-            self.output.buffer.extend_from_slice(&piece);
-            self.output.send_above(RELAY_BYTES).await?;
-            if missing > 0 {
-                self.fill(false).await?;
+            let chunk = input.split_to(remaining.min(input.len()));
+            remaining -= chunk.len();
+            self.output.buffer.extend_from_slice(&chunk);
+            self.output.flush_at(RELAY_THRESHOLD_BYTES).await?;
+            if remaining > 0 {
+                self.fill_input(false).await?;
             }
         }
         Ok(())
     }
 
     /// Takes note of a reply and tells whether the caller gets it.
-    fn note_step(&mut self, tag: u8, steps: &mut VecDeque<ReplyStep>) -> bool {
-        let ends_step = matches!(
+    fn track_response(&mut self, tag: u8, expected: &mut VecDeque<ExpectedResponse>) -> bool {
+        let completes_response = matches!(
             tag,
             backend::PARSE_COMPLETE
                 | backend::BIND_COMPLETE
@@ -309,31 +313,31 @@
                 | backend::PORTAL_SUSPENDED
         );
         if tag == backend::ERROR_RESPONSE {
-            steps.clear();
+            expected.clear();
             return true;
         }
-        if !ends_step {
+        if !completes_response {
             return true;
         }
-        match steps.pop_front() {
-            Some(ReplyStep::Parsed { id, hidden }) => {
+        match expected.pop_front() {
+            Some(ExpectedResponse::ParseComplete { id, suppressed }) => {
                 self.connection.prepared_statements.extend(id);
-                !hidden
+                !suppressed
             }
             _ => true,
         }
     }
 
-    fn give_replies(&mut self, steps: &mut VecDeque<ReplyStep>) {
-        while let Some(ReplyStep::Given(tag)) = steps.front() {
+    fn put_synthesized(&mut self, expected: &mut VecDeque<ExpectedResponse>) {
+        while let Some(ExpectedResponse::Synthesized(tag)) = expected.front() {
             // These replies have no body.
             self.output.buffer.extend_from_slice(&[*tag, 0, 0, 0, 4]);
-            steps.pop_front();
+            expected.pop_front();
         }
     }
 
-    fn give_all(&mut self, steps: &mut VecDeque<ReplyStep>) {
-        self.give_replies(steps);
-        steps.clear();
+    fn put_remaining_synthesized(&mut self, expected: &mut VecDeque<ExpectedResponse>) {
+        self.put_synthesized(expected);
+        expected.clear();
     }
 }
--- a/crates/proxy/src/session/settle.rs
+++ b/crates/proxy/src/session/in_doubt.rs
@@ -12,13 +12,13 @@
 use super::CallerSession;
 
 /// Pause between two questions to the group.
-const SETTLE_INTERVAL: Duration = Duration::from_millis(20);
+const RESOLVE_INTERVAL: Duration = Duration::from_millis(20);
 /// Time that one question may take.
-const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
+const RESOLVE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What the group says of a labelled transaction.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum SettledOutcome {
+pub(super) enum ResolvedOutcome {
     /// It is in the log at this position, and a majority holds it.
     Committed(LogPosition),
     /// It is not in the log and never will be.
@@ -29,32 +29,32 @@
 
 impl CallerSession {
     /// Asks the current primary for the outcome of a labelled transaction until the deadline.
-    pub(super) async fn settle(&self, label: &str, deadline: Instant) -> SettledOutcome {
+    pub(super) async fn resolve_outcome(&self, label: &str, deadline: Instant) -> ResolvedOutcome {
         let command = GroupCommand::Outcome(label.to_owned());
         while self.instance.now() < deadline {
-            match timeout_at(deadline.into(), self.ask_outcome(&command)).await {
+            match timeout_at(deadline.into(), self.query_outcome(&command)).await {
                 Ok(Some(outcome)) => {
                     log_event!(LogEvent::OutcomeResolved, "label={label} outcome={outcome:?}");
                     return outcome;
                 }
-                Ok(None) => sleep(SETTLE_INTERVAL).await,
+                Ok(None) => sleep(RESOLVE_INTERVAL).await,
                 Err(_) => break,
             }
         }
-        SettledOutcome::Unknown
+        ResolvedOutcome::Unknown
     }
 
-    async fn ask_outcome(&self, command: &GroupCommand) -> Option<SettledOutcome> {
-        let RouteTarget::Primary(index) = self.database.route_write() else {
+    async fn query_outcome(&self, command: &GroupCommand) -> Option<ResolvedOutcome> {
+        let RouteTarget::Primary(member_index) = self.database.route_write() else {
             return None;
         };
-        let mut connection = self.database.members[index].open_control().await.ok()?;
-        let answer = connection.command(command, SETTLE_TIMEOUT).await.ok()?;
-        if answer == "absent" {
-            return Some(SettledOutcome::Absent);
+        let mut connection = self.database.members[member_index].open_control().await.ok()?;
+        let response = connection.command(command, RESOLVE_TIMEOUT).await.ok()?;
+        if response == "absent" {
+            return Some(ResolvedOutcome::Absent);
         }
-        let index = answer.strip_prefix("committed ")?.parse().ok()?;
+        let index = response.strip_prefix("committed ")?.parse().ok()?;
         let term = connection.position()?.term;
-        Some(SettledOutcome::Committed(LogPosition::new(term, index)))
+        Some(ResolvedOutcome::Committed(LogPosition::new(term, index)))
     }
 }
--- a/crates/proxy/src/session/local.rs
+++ b/crates/proxy/src/session/local_response.rs
@@ -13,13 +13,13 @@
 use super::CallerSession;
 use super::batch::{BatchMessage, CallerBatch};
 use super::request::RequestBody;
-use crate::parameter::{INSTANCE_NAME, ParameterRefusal, SESSION_TOKEN};
+use crate::parameter::{INSTANCE_NAME, ParameterError, SESSION_TOKEN};
 
 /// Type identifier of text columns.
 const TEXT_OID: u32 = 25;
 
 /// Answer to a statement that no member sees.
-pub(super) enum LocalAnswer {
+pub(super) enum LocalResponse {
     /// Command with a tag and no rows.
     Command(&'static str),
     /// One row with one text column.
@@ -35,38 +35,38 @@
 
 impl CallerSession {
     /// Runs a statement on the session's parameters.
-    pub(super) fn run_parameter(
+    pub(super) fn run_session_statement(
         &mut self,
         statement: &SessionStatement,
-    ) -> Result<LocalAnswer, RequestRefusal> {
+    ) -> Result<LocalResponse, RequestRefusal> {
         match statement {
             SessionStatement::Set { name, value } => self.set_parameter(name, value),
             SessionStatement::Show { name } => self.show_parameter(name),
             SessionStatement::Reset => {
                 self.parameters.reset();
-                Ok(LocalAnswer::Command("RESET"))
+                Ok(LocalResponse::Command("RESET"))
             }
         }
     }
 
-    fn set_parameter(&mut self, name: &str, value: &str) -> Result<LocalAnswer, RequestRefusal> {
+    fn set_parameter(&mut self, name: &str, value: &str) -> Result<LocalResponse, RequestRefusal> {
         if name == SESSION_TOKEN {
             let decoded = self.instance.tokens.decode(value);
             let positions = decoded.map_err(|error| {
                 RequestRefusal::new(RefusalReason::InvalidToken, error.to_string())
             })?;
             self.positions.merge(&positions);
-            self.positions_moved = true;
-            return Ok(LocalAnswer::Command("SET"));
+            self.positions_changed = true;
+            return Ok(LocalResponse::Command("SET"));
         }
         match self.parameters.set(name, value) {
-            Ok(()) => Ok(LocalAnswer::Command("SET")),
+            Ok(()) => Ok(LocalResponse::Command("SET")),
             Err(refusal) => {
                 let detail = match refusal {
-                    ParameterRefusal::NotOffered => {
+                    ParameterError::Unsupported => {
                         format!("parameter {name:?} cannot be set through the proxy")
                     }
-                    ParameterRefusal::ValueFixed(value) => {
+                    ParameterError::FixedValue(value) => {
                         format!("parameter {name:?} is fixed to {value:?}")
                     }
                 };
@@ -75,7 +75,7 @@
         }
     }
 
-    fn show_parameter(&self, name: &str) -> Result<LocalAnswer, RequestRefusal> {
+    fn show_parameter(&self, name: &str) -> Result<LocalResponse, RequestRefusal> {
         let value = match name {
             SESSION_TOKEN => self.instance.tokens.encode(&self.positions),
             INSTANCE_NAME => self.instance.settings.instance.clone(),
@@ -87,23 +87,23 @@
                 })?
             }
         };
-        Ok(LocalAnswer::Value { name: name.to_owned(), value })
+        Ok(LocalResponse::Value { name: name.to_owned(), value })
     }
 
     /// Writes a local answer in the form that the request's messages ask for.
-    pub(super) fn put_local(&mut self, body: &RequestBody, answer: &LocalAnswer) {
+    pub(super) fn put_local_response(&mut self, body: &RequestBody, response: &LocalResponse) {
         match body {
             RequestBody::Simple(_) => {
-                if let LocalAnswer::Value { name, .. } = answer {
-                    self.put_description(name);
+                if let LocalResponse::Value { name, .. } = response {
+                    self.put_row_description(name);
                 }
-                self.put_execution(answer);
+                self.put_execute_response(response);
             }
-            RequestBody::Batch(batch) => self.put_local_batch(batch, answer),
+            RequestBody::Batch(batch) => self.put_batch_response(batch, response),
         }
     }
 
-    fn put_local_batch(&mut self, batch: &CallerBatch, answer: &LocalAnswer) {
+    fn put_batch_response(&mut self, batch: &CallerBatch, response: &LocalResponse) {
         for message in batch.messages() {
             let output = &mut self.output;
             match message {
@@ -119,34 +119,34 @@
                 BatchMessage::DescribeStatement { .. } => {
                     let types = ParameterDescription::new(Vec::new());
                     backend::put(output, PgWireBackendMessage::ParameterDescription(types));
-                    self.put_shape(answer);
+                    self.put_result_description(response);
                 }
-                BatchMessage::DescribePortal(_) => self.put_shape(answer),
-                BatchMessage::Execute(_) => self.put_execution(answer),
+                BatchMessage::DescribePortal(_) => self.put_result_description(response),
+                BatchMessage::Execute(_) => self.put_execute_response(response),
             }
         }
     }
 
-    fn put_shape(&mut self, answer: &LocalAnswer) {
-        match answer {
-            LocalAnswer::Value { name, .. } => self.put_description(name),
-            LocalAnswer::Command(_) | LocalAnswer::Empty => {
+    fn put_result_description(&mut self, response: &LocalResponse) {
+        match response {
+            LocalResponse::Value { name, .. } => self.put_row_description(name),
+            LocalResponse::Command(_) | LocalResponse::Empty => {
                 backend::put(&mut self.output, PgWireBackendMessage::NoData(NoData::new()));
             }
         }
     }
 
-    fn put_description(&mut self, name: &str) {
+    fn put_row_description(&mut self, name: &str) {
         let field = FieldDescription::new(name.to_owned(), 0, 0, TEXT_OID, -1, -1, 0);
         let message = RowDescription::new(vec![field]);
         backend::put(&mut self.output, PgWireBackendMessage::RowDescription(message));
     }
 
-    fn put_execution(&mut self, answer: &LocalAnswer) {
-        match answer {
-            LocalAnswer::Command(tag) => backend::put_command_complete(&mut self.output, tag),
-            LocalAnswer::Empty => backend::put_empty_query_response(&mut self.output),
-            LocalAnswer::Value { value, .. } => {
+    fn put_execute_response(&mut self, response: &LocalResponse) {
+        match response {
+            LocalResponse::Command(tag) => backend::put_command_complete(&mut self.output, tag),
+            LocalResponse::Empty => backend::put_empty_query_response(&mut self.output),
+            LocalResponse::Value { value, .. } => {
                 let mut data = bytes::BytesMut::new();
                 data.extend_from_slice(&(value.len() as i32).to_be_bytes());
                 data.extend_from_slice(value.as_bytes());
--- a/crates/proxy/src/session/request.rs
+++ b/crates/proxy/src/session/request.rs
@@ -22,7 +22,7 @@
     /// What running the request does.
     pub(super) class: Arc<StatementClass>,
     /// Tells that the request ends its exchange; false after a flush.
-    pub(super) synced: bool,
+    pub(super) ends_with_sync: bool,
 }
 
 impl CallerRequest {
@@ -33,7 +33,7 @@
         match (&self.body, self.class.kind) {
             (_, StatementKind::Commit | StatementKind::Rollback) => 0.0,
             (RequestBody::Simple(_), _) => self.class.statement_count as f64,
-            (RequestBody::Batch(batch), _) => batch.executions() as f64,
+            (RequestBody::Batch(batch), _) => batch.execute_count() as f64,
         }
     }
 
--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -14,26 +14,26 @@
 use wire::refusal::{RefusalReason, RequestRefusal};
 use wire::statement::StatementKind;
 
-use super::admit::RequestTerms;
-use super::exchange::{self, CallerOutput, ExchangeEnd, ExchangePlan};
-use super::local::LocalAnswer;
+use super::admission::RequestPolicy;
+use super::exchange::{self, CallerOutput, ExchangeOutcome, ExchangePlan};
+use super::in_doubt::ResolvedOutcome;
+use super::local_response::LocalResponse;
 use super::request::CallerRequest;
-use super::settle::SettledOutcome;
 use super::{CallerSession, PinnedConnection, SessionEnd};
 use crate::counters::RetryReason;
 
 /// Attempts that one request may take.
 const MAX_ATTEMPTS: u32 = 12;
 /// Pause before the first retry; it doubles with every further one.
-const FIRST_BACKOFF: Duration = Duration::from_millis(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(2);
 /// Longest pause before a retry.
 const MAX_BACKOFF: Duration = Duration::from_millis(100);
 
 /// What an exchange lacked that was given up because its member was replaced or silent.
-const GIVEN_UP: &str = "the current primary or a replica that answers";
+const EXPECTED_MEMBER: &str = "the current primary or a replica that answers";
 
 /// What became of one attempt.
-enum AttemptEnd {
+enum AttemptOutcome {
     /// The answer is in the caller's output.
     Done,
     /// The request did not run and may be tried again.
@@ -43,93 +43,96 @@
 }
 
 /// How an exchange ended and what the caller has of its answer.
-struct ExchangeReport {
-    end: ExchangeEnd,
+struct ExchangeResult {
+    outcome: ExchangeOutcome,
     /// Tells that the caller has seen part of the answer.
-    sent: bool,
+    partly_sent: bool,
     /// Tells that the whole answer came, though perhaps not its confirmation.
-    answered: bool,
+    response_complete: bool,
 }
 
 /// Member chosen for an attempt.
 struct AttemptTarget {
-    member: usize,
+    member_index: usize,
     /// Term of the primary; none on a replica.
     term: Option<u64>,
-    floor: Option<LogPosition>,
+    required_position: Option<LogPosition>,
 }
 
 impl CallerSession {
     /// Serves one request from admission to the end of its exchange.
     pub(super) async fn serve(&mut self, request: CallerRequest) -> Result<(), SessionEnd> {
-        self.check_key()?;
+        self.check_access()?;
         self.instance.counters.requests.increment(1);
-        if self.block == TransactionState::Failed && self.pinned.is_none() {
-            return self.serve_lost_block(&request).await;
+        if self.transaction_state == TransactionState::Failed && self.pinned.is_none() {
+            return self.serve_failed_transaction(&request).await;
         }
-        if let Some(answer) = self.local_answer(&request) {
-            match answer {
-                Ok(answer) => self.put_local(&request.body, &answer),
-                Err(refusal) => return self.refuse_in_block(refusal, request.synced).await,
+        if let Some(response) = self.local_response(&request) {
+            match response {
+                Ok(response) => self.put_local_response(&request.body, &response),
+                Err(refusal) => return self.refuse_request(refusal, request.ends_with_sync).await,
             }
-            return self.end_request(request.synced).await;
+            return self.end_request(request.ends_with_sync).await;
         }
-        let terms = match self.admit(&request).await {
-            Ok(terms) => terms,
-            Err(refusal) => return self.refuse_in_block(refusal, request.synced).await,
+        let policy = match self.admit(&request).await {
+            Ok(policy) => policy,
+            Err(refusal) => return self.refuse_request(refusal, request.ends_with_sync).await,
         };
-        let served = if self.pinned.is_some() {
-            self.serve_pinned(&request, &terms).await
+        let result = if self.pinned.is_some() {
+            self.serve_pinned(&request, &policy).await
         } else {
-            self.serve_unpinned(&request, &terms).await
+            self.serve_unpinned(&request, &policy).await
         };
-        match served? {
-            Ok(()) => self.end_request(request.synced).await,
-            Err(refusal) => self.refuse_in_block(refusal, request.synced).await,
+        match result? {
+            Ok(()) => self.end_request(request.ends_with_sync).await,
+            Err(refusal) => self.refuse_request(refusal, request.ends_with_sync).await,
         }
     }
 
-    async fn end_request(&mut self, synced: bool) -> Result<(), SessionEnd> {
-        if synced { self.finish().await } else { self.flush().await }
+    async fn end_request(&mut self, ends_with_sync: bool) -> Result<(), SessionEnd> {
+        if ends_with_sync { self.complete_exchange().await } else { self.flush().await }
     }
 
     /// Refuses a request; inside a transaction this ends the transaction.
-    async fn refuse_in_block(
+    async fn refuse_request(
         &mut self,
         refusal: RequestRefusal,
-        synced: bool,
+        ends_with_sync: bool,
     ) -> Result<(), SessionEnd> {
-        self.lose_transaction();
-        self.refuse(refusal, synced).await
+        self.fail_transaction();
+        self.send_refusal(refusal, ends_with_sync).await
     }
 
     /// Answers requests after a transaction was lost, until the caller ends it.
-    async fn serve_lost_block(&mut self, request: &CallerRequest) -> Result<(), SessionEnd> {
+    async fn serve_failed_transaction(
+        &mut self,
+        request: &CallerRequest,
+    ) -> Result<(), SessionEnd> {
         match request.class.kind {
             StatementKind::Commit | StatementKind::Rollback => {
-                self.block = TransactionState::Idle;
-                self.put_local(&request.body, &LocalAnswer::Command("ROLLBACK"));
-                self.end_request(request.synced).await
+                self.transaction_state = TransactionState::Idle;
+                self.put_local_response(&request.body, &LocalResponse::Command("ROLLBACK"));
+                self.end_request(request.ends_with_sync).await
             }
             _ => {
                 let detail = "current transaction is aborted, commands ignored until end of \
                               transaction block";
                 backend::put_error(&mut self.output, "25P02", detail);
-                self.skipping = !request.synced;
-                self.end_request(request.synced).await
+                self.skipping_to_sync = !request.ends_with_sync;
+                self.end_request(request.ends_with_sync).await
             }
         }
     }
 
-    fn local_answer(
+    fn local_response(
         &mut self,
         request: &CallerRequest,
-    ) -> Option<Result<LocalAnswer, RequestRefusal>> {
+    ) -> Option<Result<LocalResponse, RequestRefusal>> {
         match request.class.kind {
-            StatementKind::Empty => Some(Ok(LocalAnswer::Empty)),
+            StatementKind::Empty => Some(Ok(LocalResponse::Empty)),
             StatementKind::Session => {
                 let statement = request.class.session.clone()?;
-                Some(self.run_parameter(&statement))
+                Some(self.run_session_statement(&statement))
             }
             _ => None,
         }
@@ -139,38 +142,42 @@
     async fn serve_pinned(
         &mut self,
         request: &CallerRequest,
-        terms: &RequestTerms,
+        policy: &RequestPolicy,
     ) -> Result<Result<(), RequestRefusal>, SessionEnd> {
         let Some(mut pinned) = self.pinned.take() else {
             return Ok(Ok(()));
         };
-        let commits = request.may_commit(self.block != TransactionState::Idle)
-            && self.block != TransactionState::Failed;
+        let may_commit = request.may_commit(self.transaction_state != TransactionState::Idle)
+            && self.transaction_state != TransactionState::Failed;
         let plan = ExchangePlan {
-            label: commits.then(|| self.instance.next_label()),
-            confirm: commits,
+            label: may_commit.then(|| self.instance.next_label()),
+            confirm_commit: may_commit,
             in_transaction: true,
             ..ExchangePlan::default()
         };
-        let run = self.exchange(&mut pinned.connection, request, &plan, pinned.member, terms).await;
-        let ExchangeReport { end, sent, answered } = run;
-        match end {
-            ExchangeEnd::Complete => {
-                self.keep_or_recycle(pinned.connection, pinned.member, request);
+        let result = self
+            .run_exchange(&mut pinned.connection, request, &plan, pinned.member_index, policy)
+            .await;
+        let ExchangeResult { outcome, partly_sent, response_complete } = result;
+        match outcome {
+            ExchangeOutcome::Complete => {
+                self.pin_or_release(pinned.connection, pinned.member_index, request);
                 Ok(Ok(()))
             }
-            ExchangeEnd::CallerGone => Err(SessionEnd::Closed),
-            ExchangeEnd::Lost(_) if commits && !sent => {
+            ExchangeOutcome::CallerDisconnected => Err(SessionEnd::Closed),
+            ExchangeOutcome::ConnectionLost(_) if may_commit && !partly_sent => {
                 drop(pinned);
-                self.block = TransactionState::Idle;
+                self.transaction_state = TransactionState::Idle;
                 let label = plan.label.unwrap_or_default();
-                Ok(self.end_lost_commit(&label, answered, request, terms).await)
+                Ok(self.resolve_in_doubt_commit(&label, response_complete, request, policy).await)
             }
-            ExchangeEnd::NotRun | ExchangeEnd::Stale | ExchangeEnd::Lost(_) => {
+            ExchangeOutcome::NotExecuted
+            | ExchangeOutcome::Stale
+            | ExchangeOutcome::ConnectionLost(_) => {
                 drop(pinned);
-                self.block = TransactionState::Failed;
-                if sent {
-                    return Err(broken_answer());
+                self.transaction_state = TransactionState::Failed;
+                if partly_sent {
+                    return Err(interrupted_response());
                 }
                 let detail = "the primary was lost and the transaction is rolled back";
                 Ok(Err(RequestRefusal::new(RefusalReason::TransactionLost, detail)))
@@ -179,28 +186,28 @@
     }
 
     /// Settles a commit whose answer was lost.
-    async fn end_lost_commit(
+    async fn resolve_in_doubt_commit(
         &mut self,
         label: &str,
-        answered: bool,
+        response_complete: bool,
         request: &CallerRequest,
-        terms: &RequestTerms,
+        policy: &RequestPolicy,
     ) -> Result<(), RequestRefusal> {
-        match self.settle(label, terms.deadline).await {
-            SettledOutcome::Committed(position) => {
-                self.note_position(position);
-                if !answered {
-                    self.put_local(&request.body, &LocalAnswer::Command("COMMIT"));
+        match self.resolve_outcome(label, policy.deadline).await {
+            ResolvedOutcome::Committed(position) => {
+                self.observe_position(position);
+                if !response_complete {
+                    self.put_local_response(&request.body, &LocalResponse::Command("COMMIT"));
                 }
                 Ok(())
             }
-            SettledOutcome::Absent => {
+            ResolvedOutcome::Absent => {
                 self.output.clear();
                 let detail = "the primary was replaced before the commit and the transaction is \
                               rolled back";
                 Err(RequestRefusal::new(RefusalReason::TransactionLost, detail))
             }
-            SettledOutcome::Unknown => {
+            ResolvedOutcome::Unknown => {
                 self.output.clear();
                 Err(outcome_unknown("the commit was sent and its answer is lost"))
             }
@@ -211,24 +218,24 @@
     async fn serve_unpinned(
         &mut self,
         request: &CallerRequest,
-        terms: &RequestTerms,
+        policy: &RequestPolicy,
     ) -> Result<Result<(), RequestRefusal>, SessionEnd> {
-        let mut backoff = FIRST_BACKOFF;
+        let mut backoff = INITIAL_BACKOFF;
         let mut primary_only = false;
         for _ in 0..MAX_ATTEMPTS {
-            let target = match self.choose_target(request, terms, primary_only).await {
+            let target = match self.select_target(request, policy, primary_only).await {
                 Ok(target) => target,
                 Err(refusal) => return Ok(Err(refusal)),
             };
-            let reason = match self.attempt(request, terms, &target).await? {
-                AttemptEnd::Done => return Ok(Ok(())),
-                AttemptEnd::Refused(refusal) => return Ok(Err(refusal)),
-                AttemptEnd::Retry(reason) => reason,
+            let reason = match self.attempt(request, policy, &target).await? {
+                AttemptOutcome::Done => return Ok(Ok(())),
+                AttemptOutcome::Refused(refusal) => return Ok(Err(refusal)),
+                AttemptOutcome::Retry(reason) => reason,
             };
             self.instance.counters.retried(reason);
             log_event!(LogEvent::RequestRetried, "reason={}", reason.label());
             primary_only |= reason == RetryReason::StaleAnswer;
-            if self.instance.now() + backoff >= terms.deadline {
+            if self.instance.now() + backoff >= policy.deadline {
                 break;
             }
             sleep(backoff).await;
@@ -239,39 +246,40 @@
     }
 
     /// Picks a member, waiting for a primary until the deadline.
-    async fn choose_target(
+    async fn select_target(
         &self,
         request: &CallerRequest,
-        terms: &RequestTerms,
+        policy: &RequestPolicy,
         primary_only: bool,
     ) -> Result<AttemptTarget, RequestRefusal> {
         let mut changes = self.database.subscribe();
-        let min_position = self.positions.get(&self.entry.name);
-        let max_staleness = terms.stated_age().filter(|_| !primary_only);
+        let min_position = self.positions.get(&self.database_entry.name);
+        let max_staleness = policy.max_staleness().filter(|_| !primary_only);
         loop {
             changes.borrow_and_update();
             let now = self.instance.now();
-            let target = if request.class.kind == StatementKind::Read && request.synced {
-                let needs =
+            let target = if request.class.kind == StatementKind::Read && request.ends_with_sync {
+                let requirements =
                     ReadRequirements { max_staleness, min_position, began_at: self.began_at };
-                let (target, views) = self.database.route_read(&needs, now);
-                if let RouteTarget::Replica(member) = target {
+                let (target, views) = self.database.route_read(&requirements, now);
+                if let RouteTarget::Replica(member_index) = target {
                     // Without a token the answer must at least reach what the choice rests on.
-                    let floor = min_position.or(Some(views[member].position.applied_position()));
-                    return Ok(AttemptTarget { member, term: None, floor });
+                    let required_position =
+                        min_position.or(Some(views[member_index].position.applied_position()));
+                    return Ok(AttemptTarget { member_index, term: None, required_position });
                 }
                 target
             } else {
                 self.database.route_write()
             };
-            if let RouteTarget::Primary(member) = target {
-                let status = self.database.members[member].record().status;
+            if let RouteTarget::Primary(member_index) = target {
+                let status = self.database.members[member_index].record().status;
                 let term = status.map(|status| status.position.term);
-                return Ok(AttemptTarget { member, term, floor: min_position });
+                return Ok(AttemptTarget { member_index, term, required_position: min_position });
             }
-            let waited = timeout_at(terms.deadline.into(), changes.changed()).await;
+            let waited = timeout_at(policy.deadline.into(), changes.changed()).await;
             if !matches!(waited, Ok(Ok(()))) {
-                let detail = format!("database {:?} has no primary", self.entry.name);
+                let detail = format!("database {:?} has no primary", self.database_entry.name);
                 return Err(RequestRefusal::new(RefusalReason::NoPrimary, detail));
             }
         }
@@ -280,200 +288,218 @@
     async fn attempt(
         &mut self,
         request: &CallerRequest,
-        terms: &RequestTerms,
+        policy: &RequestPolicy,
         target: &AttemptTarget,
-    ) -> Result<AttemptEnd, SessionEnd> {
-        let mut connection = match self.take_connection(target, terms.deadline).await {
+    ) -> Result<AttemptOutcome, SessionEnd> {
+        let mut connection = match self.acquire_connection(target, policy.deadline).await {
             Ok(connection) => connection,
-            Err(end) => return Ok(end),
+            Err(outcome) => return Ok(outcome),
         };
-        let commits = request.may_commit(false);
+        let may_commit = request.may_commit(false);
         let is_write = request.class.kind == StatementKind::Write;
         let plan = ExchangePlan {
-            barrier: target.term.is_some() && target.floor.is_none() && !is_write,
-            label: commits.then(|| self.instance.next_label()),
-            confirm: commits && request.synced,
-            floor: target.floor,
+            confirm_leadership: target.term.is_some()
+                && target.required_position.is_none()
+                && !is_write,
+            label: may_commit.then(|| self.instance.next_label()),
+            confirm_commit: may_commit && request.ends_with_sync,
+            required_position: target.required_position,
             on_replica: target.term.is_none(),
             in_transaction: false,
         };
-        let run = self.exchange(&mut connection, request, &plan, target.member, terms).await;
-        let ExchangeReport { end, sent, answered } = run;
-        match end {
-            ExchangeEnd::Complete => {
+        let result =
+            self.run_exchange(&mut connection, request, &plan, target.member_index, policy).await;
+        let ExchangeResult { outcome, partly_sent, response_complete } = result;
+        match outcome {
+            ExchangeOutcome::Complete => {
                 self.count_read(request, target);
-                self.keep_or_recycle(connection, target.member, request);
-                Ok(AttemptEnd::Done)
+                self.pin_or_release(connection, target.member_index, request);
+                Ok(AttemptOutcome::Done)
             }
-            ExchangeEnd::CallerGone => Err(SessionEnd::Closed),
-            _ if sent => Err(broken_answer()),
-            ExchangeEnd::NotRun => Ok(AttemptEnd::Retry(RetryReason::NotPrimary)),
-            ExchangeEnd::Stale => {
-                log_event!(LogEvent::AnswerStale, "database={}", self.entry.name);
-                Ok(AttemptEnd::Retry(RetryReason::StaleAnswer))
+            ExchangeOutcome::CallerDisconnected => Err(SessionEnd::Closed),
+            _ if partly_sent => Err(interrupted_response()),
+            ExchangeOutcome::NotExecuted => Ok(AttemptOutcome::Retry(RetryReason::NotPrimary)),
+            ExchangeOutcome::Stale => {
+                log_event!(LogEvent::AnswerStale, "database={}", self.database_entry.name);
+                Ok(AttemptOutcome::Retry(RetryReason::StaleAnswer))
             }
-            ExchangeEnd::Lost(error) => {
-                log_event!(LogEvent::ExchangeLost, "database={}: {error}", self.entry.name);
+            ExchangeOutcome::ConnectionLost(error) => {
+                log_event!(
+                    LogEvent::ExchangeLost,
+                    "database={}: {error}",
+                    self.database_entry.name
+                );
                 drop(connection);
-                Ok(self.end_lost(request, terms, &plan, answered).await)
+                Ok(self.handle_lost_connection(request, policy, &plan, response_complete).await)
             }
         }
     }
 
     /// Decides what follows after the connection of an attempt was lost.
-    async fn end_lost(
+    async fn handle_lost_connection(
         &mut self,
         request: &CallerRequest,
-        terms: &RequestTerms,
+        policy: &RequestPolicy,
         plan: &ExchangePlan,
-        answered: bool,
-    ) -> AttemptEnd {
-        let repeatable = matches!(
+        response_complete: bool,
+    ) -> AttemptOutcome {
+        let retryable = matches!(
             request.class.kind,
             StatementKind::Read | StatementKind::Begin | StatementKind::BeginReadOnly
         );
-        if repeatable {
+        if retryable {
             self.output.clear();
-            return AttemptEnd::Retry(RetryReason::ReadLost);
+            return AttemptOutcome::Retry(RetryReason::ReadLost);
         }
         let label = plan.label.clone().unwrap_or_default();
-        match self.settle(&label, terms.deadline).await {
-            SettledOutcome::Committed(position) if answered => {
-                self.note_position(position);
-                AttemptEnd::Done
+        match self.resolve_outcome(&label, policy.deadline).await {
+            ResolvedOutcome::Committed(position) if response_complete => {
+                self.observe_position(position);
+                AttemptOutcome::Done
             }
-            SettledOutcome::Committed(position) if !terms.idempotent() => {
-                self.note_position(position);
+            ResolvedOutcome::Committed(position) if !policy.is_idempotent() => {
+                self.observe_position(position);
                 self.output.clear();
-                AttemptEnd::Refused(outcome_unknown("the write is committed, its answer is lost"))
+                AttemptOutcome::Refused(outcome_unknown(
+                    "the write is committed, its answer is lost",
+                ))
             }
-            SettledOutcome::Absent => {
+            ResolvedOutcome::Absent => {
                 self.output.clear();
-                AttemptEnd::Retry(RetryReason::ProvedAbsent)
+                AttemptOutcome::Retry(RetryReason::ProvedAbsent)
             }
-            _ if terms.idempotent() => {
+            _ if policy.is_idempotent() => {
                 self.output.clear();
-                AttemptEnd::Retry(RetryReason::IdempotentLost)
+                AttemptOutcome::Retry(RetryReason::IdempotentLost)
             }
             _ => {
                 self.output.clear();
-                AttemptEnd::Refused(outcome_unknown("the write was sent and its answer is lost"))
+                AttemptOutcome::Refused(outcome_unknown(
+                    "the write was sent and its answer is lost",
+                ))
             }
         }
     }
 
-    async fn take_connection(
+    async fn acquire_connection(
         &self,
         target: &AttemptTarget,
         deadline: Instant,
-    ) -> Result<PooledConnection, AttemptEnd> {
-        let pool = &self.database.members[target.member].pool;
-        let taken = tokio::select! {
+    ) -> Result<PooledConnection, AttemptOutcome> {
+        let pool = &self.database.members[target.member_index].pool;
+        let result = tokio::select! {
             biased;
-            taken = pool.acquire(self.team, deadline) => taken,
-            () = self.replaced(target) => return Err(AttemptEnd::Retry(RetryReason::NotPrimary)),
-            () = self.registration.slot().cancelled() => {
+            acquired = pool.acquire(self.team, deadline) => acquired,
+            () = self.wait_until_replaced(target) => {
+                return Err(AttemptOutcome::Retry(RetryReason::NotPrimary))
+            }
+            () = self.cancel_registration.cancel_target().cancelled() => {
                 let detail = "the statement was cancelled before it started";
                 let refusal = RequestRefusal::new(RefusalReason::Cancelled, detail);
-                return Err(AttemptEnd::Refused(refusal));
+                return Err(AttemptOutcome::Refused(refusal));
             }
         };
-        taken.map_err(|error| match error {
+        result.map_err(|error| match error {
             PoolError::QueueFull => {
                 let detail = "the team has too many requests waiting";
-                AttemptEnd::Refused(RequestRefusal::new(RefusalReason::QueueFull, detail))
+                AttemptOutcome::Refused(RequestRefusal::new(RefusalReason::QueueFull, detail))
             }
             PoolError::DeadlineExceeded { retry_after } => {
                 let detail = "the request cannot start before its deadline";
                 let refusal = RequestRefusal::new(RefusalReason::DeadlinePassed, detail);
-                AttemptEnd::Refused(refusal.with_retry_after(retry_after))
+                AttemptOutcome::Refused(refusal.with_retry_after(retry_after))
             }
-            PoolError::Connect { .. } => AttemptEnd::Retry(RetryReason::ConnectFailed),
+            PoolError::Connect { .. } => AttemptOutcome::Retry(RetryReason::ConnectFailed),
         })
     }
 
-    async fn replaced(&self, target: &AttemptTarget) {
+    async fn wait_until_replaced(&self, target: &AttemptTarget) {
         match target.term {
-            Some(term) => self.database.replaced(target.member, term).await,
+            Some(term) => self.database.replaced(target.member_index, term).await,
             None => std::future::pending().await,
         }
     }
 
     /// Runs an exchange until it ends, another primary takes the member's place, or a replica no
     /// longer answers.
-    async fn exchange(
+    async fn run_exchange(
         &mut self,
         connection: &mut PooledConnection,
         request: &CallerRequest,
         plan: &ExchangePlan,
-        member: usize,
-        terms: &RequestTerms,
-    ) -> ExchangeReport {
+        member_index: usize,
+        policy: &RequestPolicy,
+    ) -> ExchangeResult {
         let connection = connection.connection_mut();
-        self.registration.slot().set_running(connection.cancel_handle());
+        self.cancel_registration.cancel_target().set_running(connection.cancel_handle());
         let term = connection.position().map(|position| position.term);
-        let mark = self.output.len();
-        let sent = AtomicBool::new(false);
+        let initial_len = self.output.len();
+        let partly_sent = AtomicBool::new(false);
         let mut output = CallerOutput {
             socket: &mut self.socket,
             buffer: &mut self.output,
-            mark,
-            sent: &sent,
-            answered: false,
+            initial_len,
+            partly_sent: &partly_sent,
+            response_complete: false,
         };
         let database = self.database.clone();
-        let given_up = async {
+        let member_unavailable = async {
             match term {
-                _ if plan.on_replica => database.lost(member).await,
-                Some(term) => database.replaced(member, term).await,
+                _ if plan.on_replica => database.lost(member_index).await,
+                Some(term) => database.replaced(member_index, term).await,
                 None => std::future::pending().await,
             }
         };
-        let end = {
-            let run = exchange::run(connection, request, plan, &mut output, terms.deadline);
-            tokio::pin!(run);
+        let outcome = {
+            let exchange_run =
+                exchange::run(connection, request, plan, &mut output, policy.deadline);
+            tokio::pin!(exchange_run);
             tokio::select! {
                 biased;
-                end = &mut run => end,
+                outcome = &mut exchange_run => outcome,
                 // Of a plain read that the caller has in part only this member has the rest.
-                () = given_up => match plan.is_plain_read() && sent.load(Ordering::Relaxed) {
-                    true => run.await,
-                    false => ExchangeEnd::Lost(MemberError::Protocol { expected: GIVEN_UP }),
-                },
+                () = member_unavailable => {
+                    match plan.is_unconfirmed_read() && partly_sent.load(Ordering::Relaxed) {
+                        true => exchange_run.await,
+                        false => ExchangeOutcome::ConnectionLost(MemberError::Protocol {
+                            expected: EXPECTED_MEMBER,
+                        }),
+                    }
+                }
             }
         };
-        let (sent, answered) = (output.is_sent(), output.answered);
-        if !matches!(end, ExchangeEnd::Complete) && !answered {
-            output.rewind();
+        let (partly_sent, response_complete) = (output.is_partly_sent(), output.response_complete);
+        if !matches!(outcome, ExchangeOutcome::Complete) && !response_complete {
+            output.discard_unsent();
         }
-        self.registration.slot().set_running(None);
-        if let (ExchangeEnd::Complete, Some(position)) = (&end, connection.position()) {
-            self.database.record_position(member, position);
-            self.note_position(position.applied_position());
+        self.cancel_registration.cancel_target().set_running(None);
+        if let (ExchangeOutcome::Complete, Some(position)) = (&outcome, connection.position()) {
+            self.database.record_position(member_index, position);
+            self.observe_position(position.applied_position());
         }
-        ExchangeReport { end, sent, answered }
+        ExchangeResult { outcome, partly_sent, response_complete }
     }
 
     /// Returns a connection to its pool, or keeps it for an open transaction.
-    fn keep_or_recycle(
+    fn pin_or_release(
         &mut self,
         mut connection: PooledConnection,
-        member: usize,
+        member_index: usize,
         request: &CallerRequest,
     ) {
-        let unfinished = !request.synced;
-        self.block = connection.connection_mut().transaction_state();
-        if self.block == TransactionState::Idle && !unfinished {
+        let awaiting_sync = !request.ends_with_sync;
+        self.transaction_state = connection.connection_mut().transaction_state();
+        if self.transaction_state == TransactionState::Idle && !awaiting_sync {
             connection.release();
             return;
         }
-        let pinned = PinnedConnection { connection, member, unfinished };
+        let pinned = PinnedConnection { connection, member_index, awaiting_sync };
         self.pinned = Some(Box::new(pinned));
     }
 
-    fn note_position(&mut self, position: LogPosition) {
-        let name = self.entry.name.clone();
-        self.positions_moved |= self.positions.advance(&name, position);
+    fn observe_position(&mut self, position: LogPosition) {
+        let name = self.database_entry.name.clone();
+        self.positions_changed |= self.positions.advance(&name, position);
     }
 
     fn count_read(&self, request: &CallerRequest, target: &AttemptTarget) {
@@ -488,6 +514,6 @@
 }
 
 /// Ends the session after part of an answer was sent and the rest is lost.
-fn broken_answer() -> SessionEnd {
+fn interrupted_response() -> SessionEnd {
     SessionEnd::Refused(outcome_unknown("the answer broke off"))
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -21,14 +21,14 @@
 
 use crate::cancel::CancelRegistration;
 use crate::instance::{InstancePhase, ProxyInstance};
-use crate::parameter::{INSTANCE_NAME, REPORTED, SESSION_TOKEN, SessionParameters};
+use crate::parameter::{INSTANCE_NAME, REPORTED_PARAMETERS, SESSION_TOKEN, SessionParameters};
 
 /// Name of the team that callers without a key act for.
-pub const OPEN_TEAM: &str = "open";
+pub const ANONYMOUS_TEAM: &str = "open";
 /// Largest message accepted before authentication, in bytes.
-const STARTUP_LIMIT: usize = 10_000;
+const MAX_STARTUP_BYTES: usize = 10_000;
 /// Minor protocol version that is offered to callers who ask for a later one.
-const OFFERED_MINOR: i32 = 0;
+const SUPPORTED_MINOR_VERSION: i32 = 0;
 
 /// Why a connection does not become a session.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     /// The caller was refused and is told so.
     Refused(RequestRefusal),
     /// The connection carried a cancel request or was closed.
-    Done,
+    NoSession,
 }
 
 impl From<SocketError> for StartupEnd {
@@ -46,7 +46,7 @@
                 let reason = RefusalReason::ProtocolViolation;
                 Self::Refused(RequestRefusal::new(reason, source.to_string()))
             }
-            _ => Self::Done,
+            _ => Self::NoSession,
         }
     }
 }
@@ -70,7 +70,7 @@
 
 /// Caller that has passed startup.
 #[derive(Debug)]
-pub struct StartedCaller {
+pub struct AuthenticatedCaller {
     /// Who the caller is.
     pub identity: CallerIdentity,
     /// Parameters set at startup.
@@ -78,34 +78,34 @@
     /// Positions of the token handed over at startup.
     pub positions: SessionPositions,
     /// Registration for cancel requests.
-    pub registration: CancelRegistration,
+    pub cancel_registration: CancelRegistration,
 }
 
 /// Runs the startup of a connection.
 pub async fn run(
     socket: &mut FramedSocket,
     instance: &Arc<ProxyInstance>,
-) -> Result<StartedCaller, StartupEnd> {
+) -> Result<AuthenticatedCaller, StartupEnd> {
     let startup = read_startup(socket, instance).await?;
     if instance.phase() >= InstancePhase::Draining {
         return Err(refuse(RefusalReason::Stopping, "the instance is stopping"));
     }
     let identity = authenticate(socket, instance, &startup).await?;
     let mut parameters = SessionParameters::default();
-    let positions = read_options(instance, &startup, &mut parameters)?;
-    let registration = instance.cancels.register();
+    let positions = read_parameters(instance, &startup, &mut parameters)?;
+    let cancel_registration = instance.cancels.register();
     let mut output = BytesMut::new();
     backend::put(&mut output, PgWireBackendMessage::Authentication(Authentication::Ok));
-    for (name, value) in REPORTED {
+    for (name, value) in REPORTED_PARAMETERS {
         backend::put_parameter_status(&mut output, name, value);
     }
     backend::put_parameter_status(&mut output, INSTANCE_NAME, &instance.settings.instance);
-    let secret = SecretKey::I32(registration.secret());
-    let key = BackendKeyData::new(registration.process(), secret);
+    let secret = SecretKey::I32(cancel_registration.secret_key());
+    let key = BackendKeyData::new(cancel_registration.process_id(), secret);
     backend::put(&mut output, PgWireBackendMessage::BackendKeyData(key));
     backend::put_ready_for_query(&mut output, TransactionState::Idle);
     socket.write(&output).await?;
-    Ok(StartedCaller { identity, parameters, positions, registration })
+    Ok(AuthenticatedCaller { identity, parameters, positions, cancel_registration })
 }
 
 fn refuse(reason: RefusalReason, detail: impl Into<String>) -> StartupEnd {
@@ -133,11 +133,11 @@
                 if let Some(secret) = cancel.secret_key.as_i32() {
                     instance.cancels.cancel(cancel.pid, secret).await;
                 }
-                return Err(StartupEnd::Done);
+                return Err(StartupEnd::NoSession);
             }
             Some(PgWireFrontendMessage::Startup(startup)) => {
                 if startup.protocol_number_minor > 0 {
-                    negotiate(socket, &startup.parameters).await?;
+                    negotiate_version(socket, &startup.parameters).await?;
                 }
                 return Ok(startup.parameters);
             }
@@ -150,23 +150,24 @@
 
 /// Refuses lengths that no startup message has, before anything is buffered for them.
 fn check_startup_length(input: &[u8]) -> Result<(), StartupEnd> {
-    let Some(field) = input.first_chunk::<4>() else {
+    let Some(length_field) = input.first_chunk::<4>() else {
         return Ok(());
     };
-    let length = u32::from_be_bytes(*field) as usize;
-    if (8..=STARTUP_LIMIT).contains(&length) {
+    let length = u32::from_be_bytes(*length_field) as usize;
+    if (8..=MAX_STARTUP_BYTES).contains(&length) {
         return Ok(());
     }
-    let detail = format!("startup message of {length} bytes, 8 to {STARTUP_LIMIT} are accepted");
+    let detail =
+        format!("startup message of {length} bytes, 8 to {MAX_STARTUP_BYTES} are accepted");
     Err(refuse(RefusalReason::MessageTooLarge, detail))
 }
 
-async fn negotiate(
+async fn negotiate_version(
     socket: &mut FramedSocket,
     parameters: &BTreeMap<String, String>,
 ) -> Result<(), StartupEnd> {
     let unknown = parameters.keys().filter(|name| name.starts_with("_pq_.")).cloned().collect();
-    let message = NegotiateProtocolVersion::new(OFFERED_MINOR, unknown);
+    let message = NegotiateProtocolVersion::new(SUPPORTED_MINOR_VERSION, unknown);
     let mut output = BytesMut::new();
     backend::put(&mut output, PgWireBackendMessage::NegotiateProtocolVersion(message));
     Ok(socket.write(&output).await?)
@@ -182,25 +183,28 @@
         let detail = "the startup message names no user";
         return Err(refuse(RefusalReason::ProtocolViolation, detail));
     }
-    let name = startup.get("database").map_or(user, String::as_str);
-    let password = if user == OPEN_TEAM { None } else { Some(ask_password(socket).await?) };
-    let patience = instance.settings.startup_timeout / 2;
-    if timeout(patience, instance.wait_until_ready()).await.is_err() {
+    let database_name = startup.get("database").map_or(user, String::as_str);
+    let password =
+        if user == ANONYMOUS_TEAM { None } else { Some(request_password(socket).await?) };
+    let configuration_timeout = instance.settings.startup_timeout / 2;
+    if timeout(configuration_timeout, instance.wait_until_ready()).await.is_err() {
         let detail = "no configuration is in force on this instance yet";
         return Err(refuse(RefusalReason::NoConfiguration, detail));
     }
     let catalog = instance.catalog();
-    let found = catalog.team_id(user).and_then(|key| Some((key, catalog.team(key)?)));
+    let found = catalog.team_id(user).and_then(|id| Some((id, catalog.team(id)?)));
     let Some((team, entry)) = found else {
         return Err(refuse(RefusalReason::UnknownTeam, format!("team {user:?} is not known")));
     };
     let key = password.map(|password| find_key(entry, &password)).transpose()?;
-    let Some(database) = catalog.database_id(name) else {
-        let detail = format!("database {name:?} is not known");
+    let Some(database) = catalog.database_id(database_name) else {
+        let detail = format!("database {database_name:?} is not known");
         return Err(refuse(RefusalReason::UnknownDatabase, detail));
     };
-    if !entry.databases.is_empty() && !entry.databases.iter().any(|allowed| allowed == name) {
-        let detail = format!("team {user:?} may not use database {name:?}");
+    if !entry.databases.is_empty()
+        && !entry.databases.iter().any(|allowed| allowed == database_name)
+    {
+        let detail = format!("team {user:?} may not use database {database_name:?}");
         return Err(refuse(RefusalReason::DatabaseDenied, detail));
     }
     Ok(CallerIdentity { team, key, database })
@@ -212,14 +216,14 @@
     key.copied().ok_or_else(|| refuse(RefusalReason::WrongKey, detail))
 }
 
-async fn ask_password(socket: &mut FramedSocket) -> Result<String, StartupEnd> {
+async fn request_password(socket: &mut FramedSocket) -> Result<String, StartupEnd> {
     let mut output = BytesMut::new();
     let request = Authentication::CleartextPassword;
     backend::put(&mut output, PgWireBackendMessage::Authentication(request));
     socket.write(&output).await?;
     loop {
         if let Some(header) = socket.peek_header()?
-            && (header.tag != frontend::PASSWORD || header.total_bytes > STARTUP_LIMIT)
+            && (header.tag != frontend::PASSWORD || header.total_bytes > MAX_STARTUP_BYTES)
         {
             let detail = "expected a password message";
             return Err(refuse(RefusalReason::ProtocolViolation, detail));
@@ -234,7 +238,7 @@
 }
 
 /// Takes parameters and the session token from the startup message.
-fn read_options(
+fn read_parameters(
     instance: &ProxyInstance,
     startup: &BTreeMap<String, String>,
     parameters: &mut SessionParameters,
@@ -250,10 +254,10 @@
         }
     }
     let options = startup.get("options").map(String::as_str).unwrap_or_default();
-    let mut words = options.split_whitespace();
-    while let Some(word) = words.next() {
-        let setting = match word {
-            "-c" => words.next(),
+    let mut arguments = options.split_whitespace();
+    while let Some(argument) = arguments.next() {
+        let setting = match argument {
+            "-c" => arguments.next(),
             other => other.strip_prefix("--").or_else(|| other.strip_prefix("-c")),
         };
         let Some((name, value)) = setting.and_then(|setting| setting.split_once('=')) else {
