--- a/crates/proxy/src/cancel.rs
+++ b/crates/proxy/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancel requests: which session a process number stands for and what it runs.
+//! Cancel requests: maps process ids to sessions and their running statements.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
 use slab::Slab;
 use tokio::sync::Notify;
 
-/// Independently locked parts of the registry.
+/// Number of independently locked shards of the registry.
 const SHARD_COUNT: usize = 16;
 
-/// What a session runs at the moment.
+/// Session as the target of cancel requests, with its running statement.
 #[derive(Debug, Default)]
 pub struct CancelTarget {
     secret_key: i32,
@@ -19,18 +19,18 @@
 }
 
 impl CancelTarget {
-    /// Notes the statement that runs, or that none does.
+    /// Sets the handle of the running statement, or none.
     pub fn set_running(&self, handle: Option<CancelHandle>) {
         *self.running.lock() = handle;
     }
 
-    /// Waits for a cancel request that finds no running statement.
+    /// Waits for a cancel request that arrives while no statement runs.
     pub async fn cancelled(&self) {
         self.cancel_requested.notified().await;
     }
 }
 
-/// Sessions of an instance by process number.
+/// Sessions of an instance by process id.
 #[derive(Debug)]
 pub struct CancelRegistry {
     shards: Vec<Mutex<Slab<Arc<CancelTarget>>>>,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Registration of a session, removed when dropped.
+/// Registration of a session, which ends on drop.
 #[derive(Debug)]
 pub struct CancelRegistration {
     registry: Arc<CancelRegistry>,
@@ -51,17 +51,17 @@
 }
 
 impl CancelRegistration {
-    /// Returns the process number told to the caller.
+    /// Returns the process id that the caller was sent.
     pub fn process_id(&self) -> i32 {
         self.process_id
     }
 
-    /// Returns the secret told to the caller.
+    /// Returns the secret key that the caller was sent.
     pub fn secret_key(&self) -> i32 {
         self.target.secret_key
     }
 
-    /// Returns what the session runs.
+    /// Returns the target of cancel requests for the session.
     pub fn cancel_target(&self) -> &CancelTarget {
         &self.target
     }
@@ -85,7 +85,7 @@
         CancelRegistration { registry: self.clone(), process_id, target }
     }
 
-    /// Cancels what the session with this process number runs, if the secret fits.
+    /// Cancels the running statement of a session, if the secret key matches its process id.
     pub async fn cancel(&self, process_id: i32, secret_key: i32) {
         let (shard, index) = split_process_id(process_id);
         let Some(target) = self.shards[shard].lock().get(index).cloned() else {
@@ -96,13 +96,14 @@
         }
         let running = target.running.lock().clone();
         match running {
-            // A cancel request that fails leaves the statement to its deadline.
+            // If the cancel request cannot be sent, the statement runs until its deadline.
             Some(handle) => drop(handle.send().await),
             None => target.cancel_requested.notify_waiters(),
         }
     }
 }
 
+/// Returns the shard and the index within it.
 fn split_process_id(process_id: i32) -> (usize, usize) {
     let unsigned_id = process_id.unsigned_abs() as usize;
     (unsigned_id % SHARD_COUNT, unsigned_id / SHARD_COUNT)
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! Proxy instance: callers' sessions, routing to members and its part of the coordination.
+//! Proxy instance: callers' sessions, routing to members, and coordination with other instances.
 
 pub mod allotment;
 pub mod beat;
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers and runs their sessions.
+//! Accepts callers' connections and runs their sessions.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -18,10 +18,10 @@
 use crate::session::CallerSession;
 use crate::startup::{self, AuthenticatedCaller, StartupEnd};
 
-/// Pause after the system refused to hand over a connection.
+/// Pause after accepting a connection has failed.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Counts a caller for as long as its connection is open.
+/// Decrements the number of connected callers on drop.
 struct CallerGuard(Arc<ProxyInstance>);
 
 impl Drop for CallerGuard {
@@ -33,7 +33,7 @@
 /// Accepts callers until the instance drains.
 pub async fn serve(listener: TcpListener, instance: Arc<ProxyInstance>) {
     let mut phases = instance.phases();
-    // The sessions end with this task, as they do when a process is killed.
+    // Sessions are aborted when this task is dropped, as if the process had been killed.
     let mut sessions = JoinSet::new();
     loop {
         let accepted = tokio::select! {
@@ -48,7 +48,8 @@
             Err(_) => sleep(ACCEPT_BACKOFF).await,
         }
     }
-    // The listener closes here; the task stays for the sessions that are still open.
+    // New connections are refused from here on. The task never ends by itself, since its end would
+    // abort the open sessions.
     drop(listener);
     std::future::pending::<()>().await;
 }
@@ -62,7 +63,7 @@
         let refusal = RequestRefusal::new(reason, "the instance serves as many callers as it may");
         return send_refusal(&mut socket, &instance, &refusal).await;
     }
-    // Startup is boxed so that an idle session does not keep its space.
+    // Boxed, so that an idle session does not hold the memory of its startup.
     match Box::pin(run_startup(&mut socket, &instance)).await {
         Ok(caller) => {
             log_event!(
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! `hibiscus-proxy`: the PostgreSQL endpoint for callers.
+//! `hibiscus-proxy`: PostgreSQL proxy that callers connect to.
 
 use std::process::ExitCode;
 use std::sync::Arc;
--- a/crates/proxy/src/parameter.rs
+++ b/crates/proxy/src/parameter.rs
@@ -1,8 +1,8 @@
-//! Parameters that a session may set and show without a member's help.
+//! Session parameters, which are set and shown without a member.
 
 use std::collections::BTreeMap;
 
-/// Parameters that are told to a caller at startup.
+/// Parameters reported to a caller at startup.
 pub const REPORTED_PARAMETERS: &[(&str, &str)] = &[
     ("server_version", "15.0"),
     ("server_encoding", "UTF8"),
@@ -14,33 +14,33 @@
     ("standard_conforming_strings", "on"),
     ("is_superuser", "off"),
 ];
-/// Parameters that only name or time things on the caller's side.
+/// Parameters that accept any value, since they are never sent to members.
 const UNCHECKED_PARAMETERS: &[&str] =
     &["application_name", "client_min_messages", "extra_float_digits"];
-/// Parameter that limits the time of a statement, in milliseconds.
+/// Parameter that bounds the execution time of a statement, in milliseconds.
 pub const STATEMENT_TIMEOUT: &str = "statement_timeout";
 /// Parameter that carries the session token.
 pub const SESSION_TOKEN: &str = "hibiscus.session";
 /// Parameter that names the instance.
 pub const INSTANCE_NAME: &str = "hibiscus.instance";
 
-/// Why a parameter cannot be set.
+/// Error of setting a parameter.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ParameterError {
-    /// The parameter would change results on pooled connections.
+    /// Setting the parameter is not supported, as it would affect results on pooled connections.
     Unsupported,
-    /// Only one value of the parameter works.
+    /// Only this value of the parameter is supported.
     FixedValue(&'static str),
 }
 
-/// Parameters of one session; nothing is stored until one is set.
+/// Parameters of a session; only those that were set take memory.
 #[derive(Clone, Debug, Default)]
 pub struct SessionParameters {
     values: BTreeMap<String, String>,
 }
 
 impl SessionParameters {
-    /// Sets a parameter.
+    /// Sets a parameter. Fails if the parameter or the value is not supported.
     pub fn set(&mut self, name: &str, value: &str) -> Result<(), ParameterError> {
         if UNCHECKED_PARAMETERS.contains(&name) || name == STATEMENT_TIMEOUT {
             self.values.insert(name.to_owned(), value.to_owned());
@@ -60,7 +60,7 @@
         if accepted { Ok(()) } else { Err(ParameterError::FixedValue(fixed)) }
     }
 
-    /// Returns the value of a parameter, or none if there is no such parameter.
+    /// Returns the value of a parameter, or none if it does not exist.
     pub fn get(&self, name: &str) -> Option<&str> {
         if let Some(value) = self.values.get(name) {
             return Some(value);
@@ -76,7 +76,7 @@
         reported.map(|(_, value)| *value)
     }
 
-    /// Returns the limit on the time of a statement, in milliseconds.
+    /// Returns the timeout of statements in milliseconds, or none if it is unset, zero or invalid.
     pub fn statement_timeout_ms(&self) -> Option<u64> {
         let text = self.values.get(STATEMENT_TIMEOUT)?;
         let digits = text.trim_end_matches("ms").trim_end_matches('s').trim();
@@ -86,7 +86,7 @@
         (millis > 0).then_some(millis)
     }
 
-    /// Forgets every value.
+    /// Resets all parameters to their defaults.
     pub fn reset(&mut self) {
         self.values.clear();
     }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -1,4 +1,4 @@
-//! Session of one caller, from the end of startup to the end of the connection.
+//! Session of a caller, from the end of startup to the end of the connection.
 
 mod admission;
 mod batch;
@@ -35,15 +35,15 @@
 use batch::{BatchMessage, CallerBatch, PreparedStatement};
 use request::{CallerRequest, RequestBody};
 
-/// Bytes that the messages of one extended exchange may have together.
+/// Maximum total size of the extended-query messages before a sync or flush, in bytes.
 const MAX_BATCH_BYTES: usize = 32 * 1024 * 1024;
 
-/// Why a session ends.
+/// Reason for which a session ends.
 #[derive(Debug)]
 enum SessionEnd {
-    /// The caller closed the connection.
+    /// The caller closed the connection, or it failed.
     Closed,
-    /// The caller is told why its connection closes.
+    /// The caller is sent an error before the connection is closed.
     Refused(RequestRefusal),
 }
 
@@ -67,11 +67,11 @@
     }
 }
 
-/// Connection that a transaction or an unfinished exchange holds.
+/// Connection reserved for an open transaction or an unfinished exchange.
 struct PinnedConnection {
     connection: PooledConnection,
     member_index: usize,
-    /// Tells that a sync is still due, so the connection stays pinned outside transactions too.
+    /// The sync is still missing, so the connection stays pinned outside transactions too.
     awaiting_sync: bool,
 }
 
@@ -94,7 +94,7 @@
     batch: CallerBatch,
     pinned: Option<Box<PinnedConnection>>,
     transaction_state: TransactionState,
-    /// Tells that messages are ignored until the next sync.
+    /// Messages are ignored until the next sync.
     skipping_to_sync: bool,
     cancel_registration: CancelRegistration,
 }
@@ -115,7 +115,7 @@
             phases: instance.phases(),
             team: caller.identity.team,
             key: caller.identity.key,
-            // Zero makes the first request check the key against the document in force then.
+            // Zero makes the first request check the key against the document then in force.
             checked_revision: 0,
             database_entry,
             database,
@@ -133,14 +133,14 @@
         })
     }
 
-    /// Serves requests until the connection ends.
+    /// Serves requests until the session ends.
     pub async fn run(mut self) {
         let end = loop {
             let frame = match self.next_frame().await {
                 Ok(frame) => frame,
                 Err(end) => break end,
             };
-            // Boxed, so that an idle session does not keep the space of a running request.
+            // Boxed, so that an idle session does not hold the memory of a running request.
             if let Err(end) = Box::pin(self.handle_frame(frame)).await {
                 break end;
             }
@@ -156,7 +156,7 @@
         log_event!(LogEvent::SessionClosed, "process={}", self.cancel_registration.process_id());
     }
 
-    /// Waits for the next message; an idle session ends when the instance drains.
+    /// Waits for the next message. An idle session ends when the instance drains.
     async fn next_frame(&mut self) -> Result<RawFrame, SessionEnd> {
         loop {
             if let Some(frame) = self.socket.take_frame()? {
@@ -188,7 +188,7 @@
                 let batch = std::mem::take(&mut self.batch);
                 self.serve_batch(batch, true).await
             }
-            // Messages after an error are ignored up to the sync.
+            // After an error, messages are ignored up to the sync.
             _ if self.skipping_to_sync => Ok(()),
             frontend::FLUSH => {
                 let batch = std::mem::take(&mut self.batch);
@@ -205,7 +205,7 @@
             | frontend::DESCRIBE
             | frontend::EXECUTE
             | frontend::CLOSE => self.add_to_batch(frame),
-            // Copy messages that arrive after a refused copy are to be ignored.
+            // CopyData, CopyDone and CopyFail may follow a refused COPY and are ignored.
             b'd' | b'c' | b'f' => Ok(()),
             tag => {
                 let detail = format!("unexpected message of type {:?}", char::from(tag));
@@ -215,11 +215,12 @@
         }
     }
 
-    /// Adds a message to the extended exchange under way.
+    /// Adds an extended-query message to the current batch.
     fn add_to_batch(&mut self, frame: RawFrame) -> Result<(), SessionEnd> {
         if self.batch.bytes() + frame.bytes.len() > MAX_BATCH_BYTES {
-            let detail =
-                format!("extended-query messages before a sync exceed {MAX_BATCH_BYTES} bytes");
+            let detail = format!(
+                "extended-query messages before a sync or flush exceed {MAX_BATCH_BYTES} bytes"
+            );
             let refusal = RequestRefusal::new(RefusalReason::MessageTooLarge, detail);
             return Err(SessionEnd::Refused(refusal));
         }
@@ -227,7 +228,8 @@
         match BatchMessage::read(frame, statement_cache, &mut self.prepared_statements)? {
             Ok(message) => self.batch.push(message),
             Err(statement_name) => {
-                // What came before is dropped unsent; the caller sees one error and a sync.
+                // The batch is discarded unsent; the caller gets one error and, after its sync, a
+                // ready-for-query message.
                 self.batch.clear();
                 self.skipping_to_sync = true;
                 let detail = format!("prepared statement {statement_name:?} does not exist");
@@ -257,7 +259,7 @@
         self.serve(CallerRequest { body, class, ends_with_sync }).await
     }
 
-    /// Ends an exchange towards the caller: token if it moved, transaction state, flush.
+    /// Sends the session token if it has changed, then ready-for-query and all buffered output.
     async fn complete_exchange(&mut self) -> Result<(), SessionEnd> {
         if std::mem::take(&mut self.positions_changed) {
             let token = self.instance.tokens.encode(&self.positions);
@@ -275,7 +277,7 @@
         Ok(())
     }
 
-    /// Gives up the pinned connection, which rolls its transaction back.
+    /// Drops the pinned connection, if any, which rolls its transaction back.
     fn fail_transaction(&mut self) {
         if let Some(pinned) = self.pinned.take() {
             drop(pinned);
@@ -283,7 +285,7 @@
         }
     }
 
-    /// Tells the caller that its request was refused.
+    /// Sends the refusal of a request to the caller.
     async fn send_refusal(
         &mut self,
         refusal: RequestRefusal,
--- a/crates/proxy/src/session/admission.rs
+++ b/crates/proxy/src/session/admission.rs
@@ -1,4 +1,4 @@
-//! Checks that a request passes before it may run.
+//! Admission of requests: access, route, deadline and the team's rate.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,33 +13,33 @@
 use crate::instance::InstancePhase;
 use crate::share;
 
-/// Time for which a request waits for a share that another instance is expected to give.
+/// Bounds the wait of a request for a share that another instance is expected to grant.
 const SHARE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Interval at which such a request looks for tokens.
+/// Longest pause between two attempts of such a request to take tokens.
 const SHARE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Rules under which a request runs.
+/// Route and deadline of an admitted request.
 pub(super) struct RequestPolicy {
-    /// Route that matches, if any.
+    /// Route that the request matches, if any.
     pub(super) route: Option<Arc<RouteEntry>>,
-    /// Time up to which the request may run.
+    /// Deadline of the request.
     pub(super) deadline: Instant,
 }
 
 impl RequestPolicy {
-    /// Tells whether the route lets the request be repeated.
+    /// Returns whether the route declares its requests idempotent, so that a retry is safe.
     pub(super) fn is_idempotent(&self) -> bool {
         self.route.as_ref().is_some_and(|route| route.idempotent)
     }
 
-    /// Returns the age of data that the route accepts.
+    /// Returns the largest staleness that the route accepts, or none if only the primary may serve.
     pub(super) fn max_staleness(&self) -> Option<Duration> {
         self.route.as_ref().and_then(|route| route.max_staleness)
     }
 }
 
 impl CallerSession {
-    /// Checks team and key against the document in force; a withdrawn key ends the session.
+    /// Checks team, key and database against the current document; a revoked key ends the session.
     pub(super) fn check_access(&mut self) -> Result<(), SessionEnd> {
         let revision = self.instance.revision();
         if revision == self.checked_revision {
@@ -73,14 +73,14 @@
         Ok(())
     }
 
-    /// Checks whether a request may run and takes its cost from the team's rate.
+    /// Checks whether a request may run, and takes its cost from the team's tokens.
     pub(super) async fn admit(
         &mut self,
         request: &CallerRequest,
     ) -> Result<RequestPolicy, RequestRefusal> {
         let class = &request.class;
         if class.kind == StatementKind::Unsupported {
-            let detail = format!("{} is not offered by the proxy", class.unsupported_feature);
+            let detail = format!("{} is not supported by the proxy", class.unsupported_feature);
             return Err(RequestRefusal::new(RefusalReason::Unsupported, detail));
         }
         if self.pinned.is_none() {
@@ -95,7 +95,7 @@
         let route = self.database_entry.find_route(kind, &class.tables).cloned();
         let allows_anonymous = route.as_ref().is_some_and(|route| route.allows_anonymous);
         if self.key.is_none() && !allows_anonymous {
-            let detail = "the statement is not on a route that is open to all";
+            let detail = "the statement matches no route that allows callers without a key";
             return Err(RequestRefusal::new(RefusalReason::RouteClosed, detail));
         }
         let max_duration =
@@ -120,9 +120,10 @@
         Ok(())
     }
 
-    /// Takes tokens; a shortage may end with a share that arrives from another instance.
+    /// Takes tokens, and waits for a share that another instance is expected to grant.
     ///
-    /// Inside a transaction, whose locks others wait for, the request waits for its token.
+    /// A request inside a transaction also waits for its tokens to be refilled, since others may
+    /// be waiting for the transaction's locks.
     async fn take_tokens(&mut self, cost: f64, deadline: Instant) -> Result<(), RequestRefusal> {
         if cost <= 0.0 {
             return Ok(());
--- a/crates/proxy/src/session/exchange.rs
+++ b/crates/proxy/src/session/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with a member: what is sent, and how its replies reach the caller.
+//! Exchange with a member: sends a request and relays the response to the caller.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,81 +16,82 @@
 use super::batch::ExpectedResponse;
 use super::request::{CallerRequest, RequestBody};
 
-/// Bytes of an answer that are collected before they go to the caller.
+/// Bytes of a response that are buffered before they are sent to the caller.
 const RELAY_THRESHOLD_BYTES: usize = 32 * 1024;
-/// Bytes of an unconfirmed answer that are held back at most.
+/// Bytes of a response that are buffered until its commit is confirmed; a longer one is sent early.
 const MAX_UNCONFIRMED_BYTES: usize = 4 * 1024 * 1024;
-/// Rows above this size pass through in pieces.
+/// Size from which a row is streamed in chunks instead of buffered whole, in bytes.
 const MIN_STREAMED_ROW_BYTES: usize = 256 * 1024;
-/// Time without a byte after which an answer under way counts as lost.
+/// Bounds the wait for the next bytes of a response that has started.
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What surrounds a request on its way.
+/// Group commands sent with a request, and conditions on its response.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ExchangePlan {
-    /// Asks the primary to prove itself before the request runs.
+    /// Asks the primary to confirm its leadership before the request runs.
     pub(super) confirm_leadership: bool,
-    /// Label by which the outcome can be asked for later.
+    /// Label by which the outcome of the transaction can be queried later.
     pub(super) label: Option<String>,
-    /// Waits until a majority holds what the request committed.
+    /// Waits until a majority has replicated what the request committed.
     pub(super) confirm_commit: bool,
-    /// Position that the answering member must cover.
+    /// Position that the member must have applied.
     pub(super) required_position: Option<LogPosition>,
-    /// Tells that the request runs on a replica.
+    /// The request runs on a replica.
     pub(super) on_replica: bool,
-    /// Tells that the request runs inside a transaction.
+    /// The request runs inside a transaction.
     pub(super) in_transaction: bool,
 }
 
 impl ExchangePlan {
-    /// Tells whether the answer stands by itself, without a proof by the primary.
+    /// Returns whether the request is a single read that needs no confirmation by the primary.
     pub(super) fn is_unconfirmed_read(&self) -> bool {
         !self.confirm_commit && !self.confirm_leadership && !self.in_transaction
     }
 }
 
-/// How an exchange ended.
+/// Outcome of an exchange.
 #[derive(Debug)]
 pub(super) enum ExchangeOutcome {
-    /// The answer is complete and stands in the caller's output.
+    /// The response is complete; what was not sent yet is in the caller's output.
     Complete,
-    /// The member proved that it did not run the request.
+    /// The member is not the primary and did not run the request.
     NotExecuted,
-    /// The member's data does not cover what the session has seen.
+    /// The member has not applied the required position.
     Stale,
-    /// The connection is of no more use.
+    /// The connection failed or is in an unknown state; the request may have run.
     ConnectionLost(MemberError),
-    /// The caller is gone.
+    /// The caller's connection failed.
     CallerDisconnected,
 }
 
-/// Answer on its way to the caller.
+/// Output of an exchange to the caller.
 pub(super) struct CallerOutput<'a> {
     /// Connection of the caller.
     pub(super) socket: &'a mut FramedSocket,
-    /// Bytes not yet sent.
+    /// Bytes not sent yet.
     pub(super) buffer: &'a mut BytesMut,
     /// Length of the buffer before the exchange.
     pub(super) initial_len: usize,
-    /// Tells that part of the answer has been sent; read while the exchange runs.
+    /// Part of the response has been sent; read by others while the exchange runs.
     pub(super) partly_sent: &'a AtomicBool,
-    /// Tells that the whole answer came, though perhaps not its confirmation.
+    /// The whole response was received, though perhaps not the confirmation of its commit.
     pub(super) response_complete: bool,
 }
 
 impl CallerOutput<'_> {
-    /// Tells whether the caller has seen part of the answer.
+    /// Returns whether part of the response has been sent to the caller.
     pub(super) fn is_partly_sent(&self) -> bool {
         self.partly_sent.load(Ordering::Relaxed)
     }
 
-    /// Drops what the exchange wrote, unless the caller has already seen part of it.
+    /// Discards what the exchange buffered, unless part of it has been sent to the caller.
     pub(super) fn discard_unsent(&mut self) {
         if !self.is_partly_sent() {
             self.buffer.truncate(self.initial_len);
         }
     }
 
+    /// Sends the buffer to the caller once it has reached `threshold` bytes.
     async fn flush_at(&mut self, threshold: usize) -> Result<(), SocketError> {
         if self.buffer.len() < threshold {
             return Ok(());
@@ -102,7 +103,7 @@
     }
 }
 
-/// Error inside a relay.
+/// Error that ends an exchange early.
 enum RelayError {
     Member(MemberError),
     CallerDisconnected,
@@ -122,7 +123,7 @@
     }
 }
 
-/// Sends a request with what surrounds it and relays the answer.
+/// Sends a request with its group commands and relays the response to the caller.
 pub(super) async fn run(
     connection: &mut MemberConnection,
     request: &CallerRequest,
@@ -186,7 +187,7 @@
         Ok(())
     }
 
-    /// Reads the answer to a surrounding command; a refusal says that the primary was replaced.
+    /// Reads the response to a group command; an error can mean that the primary was replaced.
     async fn read_command_response(&mut self) -> Result<(), RelayError> {
         let response =
             timeout_at(self.deadline.into(), self.connection.read_command_response()).await;
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Relays replies up to the ready-for-query message, or up to the last step after a flush.
+    /// Relays messages up to ready-for-query, or after a flush up to the last expected response.
     async fn relay_responses(
         &mut self,
         expected: &mut VecDeque<ExpectedResponse>,
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Passes a row through in pieces if it is too large to be collected.
+    /// Streams the next message in chunks if it is a row that is too large to buffer.
     async fn stream_large_row(&mut self) -> Result<(), RelayError> {
         let Some(header) = self.connection.peek_header()? else {
             return Ok(());
@@ -299,7 +300,7 @@
         Ok(())
     }
 
-    /// Takes note of a reply and tells whether the caller gets it.
+    /// Matches a message with the expected responses and returns whether to relay it.
     fn track_response(&mut self, tag: u8, expected: &mut VecDeque<ExpectedResponse>) -> bool {
         let completes_response = matches!(
             tag,
@@ -330,7 +331,7 @@
 
     fn put_synthesized(&mut self, expected: &mut VecDeque<ExpectedResponse>) {
         while let Some(ExpectedResponse::Synthesized(tag)) = expected.front() {
-            // These replies have no body.
+            // Synthesized responses have no body, so their length is that of the length field.
             self.output.buffer.extend_from_slice(&[*tag, 0, 0, 0, 4]);
             expected.pop_front();
         }
--- a/crates/proxy/src/session/in_doubt.rs
+++ b/crates/proxy/src/session/in_doubt.rs
@@ -1,4 +1,4 @@
-//! Finds out from the group whether a write took effect whose answer was lost.
+//! Resolves in-doubt outcomes: queries whether a write whose response was lost has committed.
 
 use std::time::{Duration, Instant};
 
@@ -11,24 +11,24 @@
 
 use super::CallerSession;
 
-/// Pause between two questions to the group.
+/// Pause between two queries of an outcome.
 const RESOLVE_INTERVAL: Duration = Duration::from_millis(20);
-/// Time that one question may take.
+/// Bounds the wait for the response to a query of an outcome.
 const RESOLVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the group says of a labelled transaction.
+/// Outcome of a labelled transaction.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum ResolvedOutcome {
-    /// It is in the log at this position, and a majority holds it.
+    /// It is in the log at this position, and a majority has replicated it.
     Committed(LogPosition),
-    /// It is not in the log and never will be.
+    /// It is not in the log and can no longer be added.
     Absent,
-    /// No primary answered before the deadline.
+    /// No primary responded before the deadline.
     Unknown,
 }
 
 impl CallerSession {
-    /// Asks the current primary for the outcome of a labelled transaction until the deadline.
+    /// Queries the current primary for the outcome of a labelled transaction until the deadline.
     pub(super) async fn resolve_outcome(&self, label: &str, deadline: Instant) -> ResolvedOutcome {
         let command = GroupCommand::Outcome(label.to_owned());
         while self.instance.now() < deadline {
--- a/crates/proxy/src/session/local_response.rs
+++ b/crates/proxy/src/session/local_response.rs
@@ -1,5 +1,5 @@
-//! Answers that the proxy gives without a member: parameters, empty queries, ends of lost
-//! transactions.
+//! Responses that the proxy generates without a member: session parameters, empty queries, and
+//! the end of failed transactions.
 
 use pgwire::messages::PgWireBackendMessage;
 use pgwire::messages::data::{
@@ -15,12 +15,12 @@
 use super::request::RequestBody;
 use crate::parameter::{INSTANCE_NAME, ParameterError, SESSION_TOKEN};
 
-/// Type identifier of text columns.
+/// Object id of the type `text`.
 const TEXT_OID: u32 = 25;
 
-/// Answer to a statement that no member sees.
+/// Response to a statement that is not sent to a member.
 pub(super) enum LocalResponse {
-    /// Command with a tag and no rows.
+    /// Command completion with this tag and no rows.
     Command(&'static str),
     /// One row with one text column.
     Value {
@@ -29,12 +29,12 @@
         /// Value of the column.
         value: String,
     },
-    /// Nothing ran.
+    /// Response to an empty query.
     Empty,
 }
 
 impl CallerSession {
-    /// Runs a statement on the session's parameters.
+    /// Runs a statement that sets, shows or resets session parameters.
     pub(super) fn run_session_statement(
         &mut self,
         statement: &SessionStatement,
@@ -90,7 +90,7 @@
         Ok(LocalResponse::Value { name: name.to_owned(), value })
     }
 
-    /// Writes a local answer in the form that the request's messages ask for.
+    /// Encodes a response for the protocol and the messages of a request.
     pub(super) fn put_local_response(&mut self, body: &RequestBody, response: &LocalResponse) {
         match body {
             RequestBody::Simple(_) => {
--- a/crates/proxy/src/session/request.rs
+++ b/crates/proxy/src/session/request.rs
@@ -1,4 +1,4 @@
-//! Request of a caller: one simple query or the messages of an extended exchange.
+//! Request of a caller: a simple query, or extended-query messages up to a sync or flush.
 
 use std::sync::Arc;
 
@@ -9,9 +9,9 @@
 
 /// Messages of a request.
 pub(super) enum RequestBody {
-    /// Simple query message.
+    /// Query message of the simple protocol.
     Simple(RawFrame),
-    /// Extended messages up to a sync or flush.
+    /// Extended-query messages up to a sync or flush.
     Batch(CallerBatch),
 }
 
@@ -19,16 +19,16 @@
 pub(super) struct CallerRequest {
     /// Messages of the request.
     pub(super) body: RequestBody,
-    /// What running the request does.
+    /// Combined class of the request's statements.
     pub(super) class: Arc<StatementClass>,
-    /// Tells that the request ends its exchange; false after a flush.
+    /// The request ends with a sync or is a simple query; false after a flush.
     pub(super) ends_with_sync: bool,
 }
 
 impl CallerRequest {
-    /// Returns the statements that the request counts for against its team's rate.
+    /// Returns the number of statements that the request counts against its team's rate.
     ///
-    /// Ending a transaction is free, so that a team over its rate can still let go of locks.
+    /// Ending a transaction is free, so that a team over its rate can still release its locks.
     pub(super) fn cost(&self) -> f64 {
         match (&self.body, self.class.kind) {
             (_, StatementKind::Commit | StatementKind::Rollback) => 0.0,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Tells whether the request may commit something when it runs outside a transaction.
+    /// Returns whether the request may commit, given whether a transaction is open.
     pub(super) fn may_commit(&self, in_transaction: bool) -> bool {
         match self.class.kind {
             StatementKind::Commit | StatementKind::Mixed => true,
--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -1,4 +1,4 @@
-//! Runs requests on members, with retries where they are safe.
+//! Runs requests on members, and retries those that did not run or can safely run again.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -22,45 +22,46 @@
 use super::{CallerSession, PinnedConnection, SessionEnd};
 use crate::counters::RetryReason;
 
-/// Attempts that one request may take.
+/// Maximum number of attempts of a request.
 const MAX_ATTEMPTS: u32 = 12;
-/// Pause before the first retry; it doubles with every further one.
+/// Pause before the first retry, doubled before each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(2);
-/// Longest pause before a retry.
+/// Upper bound on the pause before a retry.
 const MAX_BACKOFF: Duration = Duration::from_millis(100);
 
-/// What an exchange lacked that was given up because its member was replaced or silent.
-const EXPECTED_MEMBER: &str = "the current primary or a replica that answers";
+/// Expectation named in the error of an exchange whose member was replaced or is unreachable.
+const EXPECTED_MEMBER: &str = "the current primary or a reachable replica";
 
-/// What became of one attempt.
+/// Outcome of an attempt.
 enum AttemptOutcome {
-    /// The answer is in the caller's output.
+    /// The response is complete; what was not sent yet is in the caller's output.
     Done,
-    /// The request did not run and may be tried again.
+    /// The request may be retried: it did not run, or running it again is safe.
     Retry(RetryReason),
-    /// The request ends with a refusal.
+    /// The request is refused.
     Refused(RequestRefusal),
 }
 
-/// How an exchange ended and what the caller has of its answer.
+/// Outcome of an exchange, and how far its response got.
 struct ExchangeResult {
     outcome: ExchangeOutcome,
-    /// Tells that the caller has seen part of the answer.
+    /// Part of the response has been sent to the caller.
     partly_sent: bool,
-    /// Tells that the whole answer came, though perhaps not its confirmation.
+    /// The whole response was received, though perhaps not the confirmation of its commit.
     response_complete: bool,
 }
 
-/// Member chosen for an attempt.
+/// Member selected for an attempt.
 struct AttemptTarget {
     member_index: usize,
-    /// Term of the primary; none on a replica.
+    /// Term of the primary, or none for a replica.
     term: Option<u64>,
+    /// Position that the member must have applied.
     required_position: Option<LogPosition>,
 }
 
 impl CallerSession {
-    /// Serves one request from admission to the end of its exchange.
+    /// Serves a request from admission to the end of its response.
     pub(super) async fn serve(&mut self, request: CallerRequest) -> Result<(), SessionEnd> {
         self.check_access()?;
         self.instance.counters.requests.increment(1);
@@ -93,7 +94,7 @@
         if ends_with_sync { self.complete_exchange().await } else { self.flush().await }
     }
 
-    /// Refuses a request; inside a transaction this ends the transaction.
+    /// Refuses a request, and fails the transaction if one is open.
     async fn refuse_request(
         &mut self,
         refusal: RequestRefusal,
@@ -103,7 +104,7 @@
         self.send_refusal(refusal, ends_with_sync).await
     }
 
-    /// Answers requests after a transaction was lost, until the caller ends it.
+    /// Responds to requests in a failed transaction without a connection, until the caller ends it.
     async fn serve_failed_transaction(
         &mut self,
         request: &CallerRequest,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Runs a request on the connection that the transaction holds.
+    /// Runs a request on the pinned connection.
     async fn serve_pinned(
         &mut self,
         request: &CallerRequest,
@@ -179,13 +180,14 @@
                 if partly_sent {
                     return Err(interrupted_response());
                 }
-                let detail = "the primary was lost and the transaction is rolled back";
+                let detail = "the primary was replaced or its connection was lost, and the \
+                              transaction was rolled back";
                 Ok(Err(RequestRefusal::new(RefusalReason::TransactionLost, detail)))
             }
         }
     }
 
-    /// Settles a commit whose answer was lost.
+    /// Resolves a commit that is in doubt because its response or confirmation was lost.
     async fn resolve_in_doubt_commit(
         &mut self,
         label: &str,
@@ -203,18 +205,18 @@
             }
             ResolvedOutcome::Absent => {
                 self.output.clear();
-                let detail = "the primary was replaced before the commit and the transaction is \
+                let detail = "the primary was replaced before the commit and the transaction was \
                               rolled back";
                 Err(RequestRefusal::new(RefusalReason::TransactionLost, detail))
             }
             ResolvedOutcome::Unknown => {
                 self.output.clear();
-                Err(outcome_unknown("the commit was sent and its answer is lost"))
+                Err(outcome_unknown("the commit was sent but its response was lost"))
             }
         }
     }
 
-    /// Runs a request outside a transaction, on whichever member suits it.
+    /// Runs a request outside a transaction, on a member selected for each attempt.
     async fn serve_unpinned(
         &mut self,
         request: &CallerRequest,
@@ -241,11 +243,11 @@
             sleep(backoff).await;
             backoff = (backoff * 2).min(MAX_BACKOFF);
         }
-        let detail = "no attempt could run before the deadline";
+        let detail = "no attempt succeeded before the deadline or the maximum number of attempts";
         Ok(Err(RequestRefusal::new(RefusalReason::DeadlinePassed, detail)))
     }
 
-    /// Picks a member, waiting for a primary until the deadline.
+    /// Selects a member, and waits for a primary until the deadline if there is none.
     async fn select_target(
         &self,
         request: &CallerRequest,
@@ -263,7 +265,8 @@
                     ReadRequirements { max_staleness, min_position, began_at: self.began_at };
                 let (target, views) = self.database.route_read(&requirements, now);
                 if let RouteTarget::Replica(member_index) = target {
-                    // Without a token the answer must at least reach what the choice rests on.
+                    // Without an observed position, the replica must have applied at least the
+                    // position by which it was selected.
                     let required_position =
                         min_position.or(Some(views[member_index].position.applied_position()));
                     return Ok(AttemptTarget { member_index, term: None, required_position });
@@ -279,7 +282,8 @@
             }
             let waited = timeout_at(policy.deadline.into(), changes.changed()).await;
             if !matches!(waited, Ok(Ok(()))) {
-                let detail = format!("database {:?} has no primary", self.database_entry.name);
+                let detail =
+                    format!("database {:?} has no reachable primary", self.database_entry.name);
                 return Err(RequestRefusal::new(RefusalReason::NoPrimary, detail));
             }
         }
@@ -335,7 +339,7 @@
         }
     }
 
-    /// Decides what follows after the connection of an attempt was lost.
+    /// Decides whether to retry after the connection of an attempt was lost.
     async fn handle_lost_connection(
         &mut self,
         request: &CallerRequest,
@@ -361,7 +365,7 @@
                 self.observe_position(position);
                 self.output.clear();
                 AttemptOutcome::Refused(outcome_unknown(
-                    "the write is committed, its answer is lost",
+                    "the write is committed but its response was lost",
                 ))
             }
             ResolvedOutcome::Absent => {
@@ -375,7 +379,7 @@
             _ => {
                 self.output.clear();
                 AttemptOutcome::Refused(outcome_unknown(
-                    "the write was sent and its answer is lost",
+                    "the write was sent but its response was lost",
                 ))
             }
         }
@@ -394,18 +398,18 @@
                 return Err(AttemptOutcome::Retry(RetryReason::NotPrimary))
             }
             () = self.cancel_registration.cancel_target().cancelled() => {
-                let detail = "the statement was cancelled before it started";
+                let detail = "the statement was cancelled before it was sent";
                 let refusal = RequestRefusal::new(RefusalReason::Cancelled, detail);
                 return Err(AttemptOutcome::Refused(refusal));
             }
         };
         result.map_err(|error| match error {
             PoolError::QueueFull => {
-                let detail = "the team has too many requests waiting";
+                let detail = "the team has too many queued requests";
                 AttemptOutcome::Refused(RequestRefusal::new(RefusalReason::QueueFull, detail))
             }
             PoolError::DeadlineExceeded { retry_after } => {
-                let detail = "the request cannot start before its deadline";
+                let detail = "no connection becomes free before the request's deadline";
                 let refusal = RequestRefusal::new(RefusalReason::DeadlinePassed, detail);
                 AttemptOutcome::Refused(refusal.with_retry_after(retry_after))
             }
@@ -413,6 +417,7 @@
         })
     }
 
+    /// Waits until the target is no longer the primary; pending forever for a replica.
     async fn wait_until_replaced(&self, target: &AttemptTarget) {
         match target.term {
             Some(term) => self.database.replaced(target.member_index, term).await,
@@ -420,8 +425,7 @@
         }
     }
 
-    /// Runs an exchange until it ends, another primary takes the member's place, or a replica no
-    /// longer answers.
+    /// Runs an exchange until it ends, the primary is replaced, or the replica is unreachable.
     async fn run_exchange(
         &mut self,
         connection: &mut PooledConnection,
@@ -457,7 +461,8 @@
             tokio::select! {
                 biased;
                 outcome = &mut exchange_run => outcome,
-                // Of a plain read that the caller has in part only this member has the rest.
+                // A partly sent response of an unconfirmed read can only be completed by the same
+                // member, so the exchange goes on.
                 () = member_unavailable => {
                     match plan.is_unconfirmed_read() && partly_sent.load(Ordering::Relaxed) {
                         true => exchange_run.await,
@@ -480,7 +485,7 @@
         ExchangeResult { outcome, partly_sent, response_complete }
     }
 
-    /// Returns a connection to its pool, or keeps it for an open transaction.
+    /// Returns a connection to its pool, or pins it for an open transaction or unfinished exchange.
     fn pin_or_release(
         &mut self,
         mut connection: PooledConnection,
@@ -513,7 +518,7 @@
     RequestRefusal::new(RefusalReason::OutcomeUnknown, detail)
 }
 
-/// Ends the session after part of an answer was sent and the rest is lost.
+/// Returns the end of a session whose caller was sent part of a response and cannot get the rest.
 fn interrupted_response() -> SessionEnd {
-    SessionEnd::Refused(outcome_unknown("the answer broke off"))
+    SessionEnd::Refused(outcome_unknown("the response was interrupted after part of it was sent"))
 }
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -6,7 +6,7 @@
 
 use clap::Args;
 
-/// Address of one member of a database group.
+/// Address of a member of a database.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MemberAddress {
     /// Name of the database.
@@ -30,7 +30,8 @@
         if database.is_empty() || member.is_empty() || zone.is_empty() {
             return Err(form.to_owned());
         }
-        let address = address.parse().map_err(|_| format!("{address:?} is not IP:PORT; {form}"))?;
+        let address =
+            address.parse().map_err(|_| format!("address {address:?} is not IP:PORT; {form}"))?;
         Ok(Self {
             database: database.to_owned(),
             member: member.to_owned(),
@@ -40,7 +41,7 @@
     }
 }
 
-/// Reads a duration in milliseconds.
+/// Parses a duration in milliseconds.
 fn parse_millis(text: &str) -> Result<Duration, String> {
     let millis: u64 =
         text.parse().map_err(|_| "expected a whole number of milliseconds".to_owned())?;
@@ -71,34 +72,34 @@
     /// Address of a member: DATABASE/MEMBER=ZONE@IP:PORT; may be given several times.
     #[arg(long = "member", env = "HIBISCUS_MEMBERS", value_delimiter = ',')]
     pub members: Vec<MemberAddress>,
-    /// User name towards databases.
+    /// User name for connections to databases.
     #[arg(long, env = "HIBISCUS_DATABASE_USER", default_value = "hibiscus")]
     pub database_user: String,
-    /// Password towards databases.
+    /// Password for connections to databases.
     #[arg(long, env = "HIBISCUS_DATABASE_PASSWORD", default_value = "", hide_env_values = true)]
     pub database_password: String,
-    /// Secret shared by all instances, which protects session tokens.
+    /// Secret shared by all instances, which authenticates session tokens.
     #[arg(long, env = "HIBISCUS_TOKEN_SECRET", hide_env_values = true)]
     pub token_secret: String,
-    /// Instances among which limits are split before the ledger has counted them.
+    /// Expected number of instances, among which the connections of a database are split.
     #[arg(long, env = "HIBISCUS_EXPECTED_INSTANCES", default_value_t = 9)]
     pub expected_instances: usize,
-    /// Callers served at once.
+    /// Maximum number of connected callers.
     #[arg(long, env = "HIBISCUS_MAX_CALLERS", default_value_t = 20_000)]
     pub max_callers: usize,
-    /// Largest message accepted from a caller, in bytes.
+    /// Maximum length of a message from a caller, in bytes.
     #[arg(long, env = "HIBISCUS_MAX_MESSAGE_BYTES", default_value_t = 16 * 1024 * 1024)]
     pub max_message_bytes: usize,
-    /// Time a caller has to authenticate, in milliseconds.
+    /// Timeout of a caller's startup and authentication, in milliseconds.
     #[arg(long, env = "HIBISCUS_STARTUP_TIMEOUT_MS", default_value = "5000", value_parser = parse_millis)]
     pub startup_timeout: Duration,
-    /// Time that opening a connection to a member may take, in milliseconds.
+    /// Timeout of opening a connection to a member, in milliseconds.
     #[arg(long, env = "HIBISCUS_CONNECT_TIMEOUT_MS", default_value = "1000", value_parser = parse_millis)]
     pub connect_timeout: Duration,
-    /// Time after which open transactions are cut while the instance drains, in milliseconds.
+    /// Timeout of open transactions while the instance drains, in milliseconds.
     #[arg(long, env = "HIBISCUS_DRAIN_DEADLINE_MS", default_value = "20000", value_parser = parse_millis)]
     pub drain_deadline: Duration,
-    /// Time for the balancer to notice that the instance leaves, in milliseconds.
+    /// Time for the load balancer to detect that the instance is leaving, in milliseconds.
     #[arg(long, env = "HIBISCUS_DRAIN_NOTICE_MS", default_value = "1000", value_parser = parse_millis)]
     pub drain_notice: Duration,
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,4 +1,4 @@
-//! Startup of a caller's connection: negotiation, authentication, session parameters.
+//! Startup of a caller's connection: version negotiation, authentication and session parameters.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,19 +23,19 @@
 use crate::instance::{InstancePhase, ProxyInstance};
 use crate::parameter::{INSTANCE_NAME, REPORTED_PARAMETERS, SESSION_TOKEN, SessionParameters};
 
-/// Name of the team that callers without a key act for.
+/// User name of callers without a key, and the team that they act for.
 pub const ANONYMOUS_TEAM: &str = "open";
-/// Largest message accepted before authentication, in bytes.
+/// Maximum length of a message before authentication, in bytes.
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// Minor protocol version that is offered to callers who ask for a later one.
+/// Latest supported minor version of protocol 3, offered to callers that request a later one.
 const SUPPORTED_MINOR_VERSION: i32 = 0;
 
-/// Why a connection does not become a session.
+/// Reason for which a connection does not become a session.
 #[derive(Debug)]
 pub enum StartupEnd {
-    /// The caller was refused and is told so.
+    /// The caller is sent a refusal.
     Refused(RequestRefusal),
-    /// The connection carried a cancel request or was closed.
+    /// The connection carried a cancel request, was closed or failed.
     NoSession,
 }
 
@@ -57,31 +57,31 @@
     }
 }
 
-/// Who a caller is and what it uses.
+/// Authenticated team, key and database of a caller.
 #[derive(Debug)]
 pub struct CallerIdentity {
     /// Team of the caller.
     pub team: TeamId,
-    /// Key by which the caller authenticated; none for callers without one.
+    /// Hash of the key that authenticated the caller, or none for a caller without a key.
     pub key: Option<KeyHash>,
-    /// Database of the connection.
+    /// Database that the caller connects to.
     pub database: DatabaseId,
 }
 
-/// Caller that has passed startup.
+/// Caller that has completed startup.
 #[derive(Debug)]
 pub struct AuthenticatedCaller {
-    /// Who the caller is.
+    /// Identity of the caller.
     pub identity: CallerIdentity,
     /// Parameters set at startup.
     pub parameters: SessionParameters,
-    /// Positions of the token handed over at startup.
+    /// Observed positions from the session token given at startup.
     pub positions: SessionPositions,
     /// Registration for cancel requests.
     pub cancel_registration: CancelRegistration,
 }
 
-/// Runs the startup of a connection.
+/// Runs the startup of a connection. Fails if it does not become a session.
 pub async fn run(
     socket: &mut FramedSocket,
     instance: &Arc<ProxyInstance>,
@@ -112,7 +112,7 @@
     StartupEnd::Refused(RequestRefusal::new(reason, detail))
 }
 
-/// Reads messages up to the startup and answers negotiation and cancel requests.
+/// Reads messages up to the startup message, and handles encryption and cancel requests.
 async fn read_startup(
     socket: &mut FramedSocket,
     instance: &Arc<ProxyInstance>,
@@ -127,7 +127,7 @@
             Some(PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::None)) => {
                 context.awaiting_frontend_ssl = false;
             }
-            // Encryption is not offered; the caller decides whether to go on without.
+            // Encryption is not supported; the caller decides whether to continue without it.
             Some(PgWireFrontendMessage::SslNegotiation(_)) => socket.write(b"N").await?,
             Some(PgWireFrontendMessage::CancelRequest(cancel)) => {
                 if let Some(secret) = cancel.secret_key.as_i32() {
@@ -142,13 +142,16 @@
                 return Ok(startup.parameters);
             }
             Some(_) => {
-                return Err(refuse(RefusalReason::ProtocolViolation, "expected a startup message"));
+                return Err(refuse(
+                    RefusalReason::ProtocolViolation,
+                    "unexpected message before the startup message",
+                ));
             }
         }
     }
 }
 
-/// Refuses lengths that no startup message has, before anything is buffered for them.
+/// Refuses invalid lengths of a startup message before anything is buffered for it.
 fn check_startup_length(input: &[u8]) -> Result<(), StartupEnd> {
     let Some(length_field) = input.first_chunk::<4>() else {
         return Ok(());
@@ -158,7 +161,7 @@
         return Ok(());
     }
     let detail =
-        format!("startup message of {length} bytes, 8 to {MAX_STARTUP_BYTES} are accepted");
+        format!("startup message of {length} bytes is outside the range 8 to {MAX_STARTUP_BYTES}");
     Err(refuse(RefusalReason::MessageTooLarge, detail))
 }
 
@@ -194,11 +197,11 @@
     let catalog = instance.catalog();
     let found = catalog.team_id(user).and_then(|id| Some((id, catalog.team(id)?)));
     let Some((team, entry)) = found else {
-        return Err(refuse(RefusalReason::UnknownTeam, format!("team {user:?} is not known")));
+        return Err(refuse(RefusalReason::UnknownTeam, format!("team {user:?} does not exist")));
     };
     let key = password.map(|password| find_key(entry, &password)).transpose()?;
     let Some(database) = catalog.database_id(database_name) else {
-        let detail = format!("database {database_name:?} is not known");
+        let detail = format!("database {database_name:?} does not exist");
         return Err(refuse(RefusalReason::UnknownDatabase, detail));
     };
     if !entry.databases.is_empty()
@@ -212,7 +215,7 @@
 
 fn find_key(team: &TeamEntry, password: &str) -> Result<KeyHash, StartupEnd> {
     let key = team.keys.iter().find(|key| key.matches(password));
-    let detail = format!("the key is not one of team {:?}", team.name);
+    let detail = format!("the password is not a key of team {:?}", team.name);
     key.copied().ok_or_else(|| refuse(RefusalReason::WrongKey, detail))
 }
 
@@ -237,7 +240,7 @@
     }
 }
 
-/// Takes parameters and the session token from the startup message.
+/// Reads session parameters and the session token from the startup message.
 fn read_parameters(
     instance: &ProxyInstance,
     startup: &BTreeMap<String, String>,
@@ -249,7 +252,7 @@
             "user" | "database" | "options" | "replication" => {}
             name if name.starts_with("_pq_.") => {}
             SESSION_TOKEN => positions = read_token(instance, value)?,
-            // Drivers send parameters of their own accord; one that cannot be kept is ignored.
+            // Drivers send parameters on their own, so unsupported ones are ignored.
             name => _ = parameters.set(name, value),
         }
     }
