--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -75,7 +75,7 @@
     awaiting_sync: bool,
 }
 
-/// Session of one caller.
+/// Session of a caller.
 pub struct CallerSession {
     instance: Arc<ProxyInstance>,
     socket: FramedSocket,
@@ -100,7 +100,8 @@
 }
 
 impl CallerSession {
-    /// Creates the session of a caller that has passed startup.
+    /// Creates the session of a caller that has completed startup. Returns none if its database has
+    /// been removed since.
     pub fn new(
         socket: FramedSocket,
         instance: Arc<ProxyInstance>,
--- a/crates/proxy/src/session/admission.rs
+++ b/crates/proxy/src/session/admission.rs
@@ -54,9 +54,9 @@
         if self.key.is_some_and(|key| !team.keys.contains(&key)) {
             return refuse(RefusalReason::KeyRevoked, "the key was withdrawn");
         }
-        let found = catalog.database(self.database.key);
+        let catalog_entry = catalog.database(self.database.key);
         let handle = self.instance.database(self.database.key);
-        let (Some(database_entry), Some(handle)) = (found, handle) else {
+        let (Some(database_entry), Some(handle)) = (catalog_entry, handle) else {
             return refuse(RefusalReason::UnknownDatabase, "the database is no longer declared");
         };
         let allowed = team.databases.is_empty()
--- a/crates/proxy/src/session/in_doubt.rs
+++ b/crates/proxy/src/session/in_doubt.rs
@@ -12,7 +12,7 @@
 use super::CallerSession;
 
 /// Pause between two queries of an outcome.
-const RESOLVE_INTERVAL: Duration = Duration::from_millis(20);
+const RESOLVE_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Bounds the wait for the response to a query of an outcome.
 const RESOLVE_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -37,7 +37,7 @@
                     log_event!(LogEvent::OutcomeResolved, "label={label} outcome={outcome:?}");
                     return outcome;
                 }
-                Ok(None) => sleep(RESOLVE_INTERVAL).await,
+                Ok(None) => sleep(RESOLVE_RETRY_DELAY).await,
                 Err(_) => break,
             }
         }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -196,16 +196,16 @@
     }
     let catalog = instance.catalog();
     let found = catalog.team_id(user).and_then(|id| Some((id, catalog.team(id)?)));
-    let Some((team, entry)) = found else {
+    let Some((team, team_entry)) = found else {
         return Err(refuse(RefusalReason::UnknownTeam, format!("team {user:?} does not exist")));
     };
-    let key = password.map(|password| find_key(entry, &password)).transpose()?;
+    let key = password.map(|password| find_key(team_entry, &password)).transpose()?;
     let Some(database) = catalog.database_id(database_name) else {
         let detail = format!("database {database_name:?} does not exist");
         return Err(refuse(RefusalReason::UnknownDatabase, detail));
     };
-    if !entry.databases.is_empty()
-        && !entry.databases.iter().any(|allowed| allowed == database_name)
+    if !team_entry.databases.is_empty()
+        && !team_entry.databases.iter().any(|allowed| allowed == database_name)
     {
         let detail = format!("team {user:?} may not use database {database_name:?}");
         return Err(refuse(RefusalReason::DatabaseDenied, detail));
