--- a/crates/proxy/src/parameter.rs
+++ b/crates/proxy/src/parameter.rs
@@ -1,9 +1,9 @@
-//! Parameters that a session may set and show without a member's help.
+//! Session parameters, which are set and shown without a member.
 
 use std::collections::BTreeMap;
 
-/// Parameters that are told to a caller at startup.
-pub const REPORTED: &[(&str, &str)] = &[
+/// Parameters reported to a caller at startup.
+pub const REPORTED_PARAMETERS: &[(&str, &str)] = &[
     ("server_version", "15.0"),
     ("server_encoding", "UTF8"),
     ("client_encoding", "UTF8"),
@@ -14,34 +14,35 @@
     ("standard_conforming_strings", "on"),
     ("is_superuser", "off"),
 ];
-/// Parameters that only name or time things on the caller's side.
-const FREE: &[&str] = &["application_name", "client_min_messages", "extra_float_digits"];
-/// Parameter that limits the time of a statement, in milliseconds.
+/// Parameters that accept any value, since they are never sent to members.
+const UNCHECKED_PARAMETERS: &[&str] =
+    &["application_name", "client_min_messages", "extra_float_digits"];
+/// Parameter that bounds the execution time of a statement, in milliseconds.
 pub const STATEMENT_TIMEOUT: &str = "statement_timeout";
 /// Parameter that carries the session token.
 pub const SESSION_TOKEN: &str = "hibiscus.session";
 /// Parameter that names the instance.
 pub const INSTANCE_NAME: &str = "hibiscus.instance";
 
-/// Why a parameter cannot be set.
+/// Error of setting a parameter.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ParameterRefusal {
-    /// The parameter would change results on pooled connections.
-    NotOffered,
-    /// Only one value of the parameter works.
-    ValueFixed(&'static str),
+pub enum ParameterError {
+    /// Setting the parameter is not supported, as it would affect results on pooled connections.
+    Unsupported,
+    /// Only this value of the parameter is supported.
+    FixedValue(&'static str),
 }
 
-/// Parameters of one session; nothing is stored until one is set.
+/// Parameters of a session; only those that were set take memory.
 #[derive(Clone, Debug, Default)]
 pub struct SessionParameters {
     values: BTreeMap<String, String>,
 }
 
 impl SessionParameters {
-    /// Sets a parameter.
-    pub fn set(&mut self, name: &str, value: &str) -> Result<(), ParameterRefusal> {
-        if FREE.contains(&name) || name == STATEMENT_TIMEOUT {
+    /// Sets a parameter. Fails if the parameter or the value is not supported.
+    pub fn set(&mut self, name: &str, value: &str) -> Result<(), ParameterError> {
+        if UNCHECKED_PARAMETERS.contains(&name) || name == STATEMENT_TIMEOUT {
             self.values.insert(name.to_owned(), value.to_owned());
             return Ok(());
         }
@@ -51,39 +52,41 @@
             "intervalstyle" => "postgres",
             "timezone" => "UTC",
             "standard_conforming_strings" => "on",
-            _ => return Err(ParameterRefusal::NotOffered),
+            _ => return Err(ParameterError::Unsupported),
         };
-        let plain = |text: &str| text.to_ascii_lowercase().replace(['-', ' '], "");
-        let accepted = plain(fixed).starts_with(&plain(value)) || plain(value) == "default";
-        if accepted { Ok(()) } else { Err(ParameterRefusal::ValueFixed(fixed)) }
+        let normalize = |text: &str| text.to_ascii_lowercase().replace(['-', ' '], "");
+        let accepted =
+            normalize(fixed).starts_with(&normalize(value)) || normalize(value) == "default";
+        if accepted { Ok(()) } else { Err(ParameterError::FixedValue(fixed)) }
     }
 
-    /// Returns the value of a parameter, or none if there is no such parameter.
+    /// Returns the value of a parameter, or none if it does not exist.
     pub fn get(&self, name: &str) -> Option<&str> {
         if let Some(value) = self.values.get(name) {
             return Some(value);
         }
-        if FREE.contains(&name) {
+        if UNCHECKED_PARAMETERS.contains(&name) {
             return Some("");
         }
         if name == STATEMENT_TIMEOUT {
             return Some("0");
         }
-        let reported = REPORTED.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
+        let reported =
+            REPORTED_PARAMETERS.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
         reported.map(|(_, value)| *value)
     }
 
-    /// Returns the limit on the time of a statement, in milliseconds.
+    /// Returns the timeout of statements in milliseconds, or none if it is unset, zero or invalid.
     pub fn statement_timeout_ms(&self) -> Option<u64> {
         let text = self.values.get(STATEMENT_TIMEOUT)?;
-        let number = text.trim_end_matches("ms").trim_end_matches('s').trim();
-        let value: u64 = number.parse().ok()?;
+        let digits = text.trim_end_matches("ms").trim_end_matches('s').trim();
+        let value: u64 = digits.parse().ok()?;
         let seconds = text.ends_with('s') && !text.ends_with("ms");
         let millis = if seconds { value * 1_000 } else { value };
         (millis > 0).then_some(millis)
     }
 
-    /// Forgets every value.
+    /// Resets all parameters to their defaults.
     pub fn reset(&mut self) {
         self.values.clear();
     }
