--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -143,8 +143,11 @@
     let database = environment.options.profile.databases[0];
     let group = environment.group(database).expect("the group runs");
     wait_for("replicas to catch up", || {
-        let applied: Vec<u64> =
-            group.members.iter().map(|member| member.core.lock().position().applied).collect();
+        let applied: Vec<u64> = group
+            .members
+            .iter()
+            .map(|member| member.replication.lock().position().applied)
+            .collect();
         applied.iter().all(|index| *index == applied[0])
     })
     .await;
--- a/crates/lab/tests/failures.rs
+++ b/crates/lab/tests/failures.rs
@@ -182,7 +182,7 @@
     })
     .await;
     let group = environment.group("bookings").expect("the group runs");
-    let status = group.members[0].core.lock().status();
+    let status = group.members[0].replication.lock().status();
     assert_eq!(status.promised, 1, "nobody was fenced");
     assert_eq!(primary(&environment, 0).as_deref(), Some("gent"));
 }
--- a/crates/lab/tests/main_job.rs
+++ b/crates/lab/tests/main_job.rs
@@ -105,7 +105,7 @@
     sleep(Duration::from_millis(200)).await;
     let database = environment.options.profile.databases[0];
     let group = environment.group(database).expect("the group runs");
-    let served = |index: usize| group.members[index].served();
+    let served = |index: usize| group.members[index].executed_statements();
     let before = (served(1) + served(2), served(0));
     for _ in 0..50 {
         let rows = caller.client.query("SELECT id FROM seats", &[]).await.expect("read");
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -172,8 +172,8 @@
             name: member.name.clone(),
             zone: member.zone.clone(),
             address: *address,
-            status: member.core.lock().status().to_string(),
-            connections: member.connections.load(std::sync::atomic::Ordering::SeqCst),
+            status: member.replication.lock().status().to_string(),
+            connections: member.open_connections.load(std::sync::atomic::Ordering::SeqCst),
         })
         .collect();
     Json(views).into_response()
--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -10,9 +10,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-use crate::engine::EngineError;
-use crate::member::{BatchAnswer, GroupMember, MemberError};
+use crate::member::{BatchResponse, GroupMember, MemberError};
 use crate::session;
+use crate::sqlite::SqliteError;
 
 /// Longest time between two batches to a replica.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
@@ -32,7 +32,7 @@
     #[snafu(display("{source}"), context(false))]
     Engine {
         /// Cause reported by the engine.
-        source: EngineError,
+        source: SqliteError,
     },
     /// The first promotion failed.
     #[snafu(display("{source}"), context(false))]
@@ -168,7 +168,7 @@
     loop {
         changes.borrow_and_update();
         let sent_at = Instant::now();
-        let batch = from.core.lock().batch_after(held, BATCH_ENTRIES);
+        let batch = from.replication.lock().batch_after(held, BATCH_ENTRIES);
         if batch.is_some() && !is_linked(&from, &to) {
             // Nothing gets through, and waiting for a change would not end with the cut.
             sleep(CUT_INTERVAL).await;
@@ -176,15 +176,15 @@
         }
         if let Some(batch) = batch {
             pause(delay).await;
-            let answer = to.update(|core| core.append(&from.name, &batch));
+            let answer = to.update(|core| core.append_batch(&from.name, &batch));
             pause(delay).await;
             match answer {
-                Ok(BatchAnswer::Held(index)) if is_linked(&from, &to) => {
+                Ok(BatchResponse::Matched(index)) if is_linked(&from, &to) => {
                     held = index;
                     let term = batch.term;
                     from.update(|core| core.acknowledge(to.index, term, index, sent_at));
                 }
-                Ok(BatchAnswer::Earlier(index)) => {
+                Ok(BatchResponse::Mismatch(index)) => {
                     held = index;
                     continue;
                 }
@@ -209,9 +209,11 @@
 }
 
 fn is_batch_due(from: &GroupMember, held: u64, sent_at: Instant) -> bool {
-    let core = from.core.lock();
+    let core = from.replication.lock();
     let ships = core.is_primary() && !core.fault.cut && !core.fault.stopped && !core.fault.paused;
-    ships && (core.last_index() > held || core.barrier_at().is_some_and(|at| at > sent_at))
+    ships
+        && (core.last_index() > held
+            || core.confirmation_requested_at().is_some_and(|at| at > sent_at))
 }
 
 fn is_linked(from: &GroupMember, to: &GroupMember) -> bool {
@@ -227,7 +229,7 @@
     let mut changes = member.changed.subscribe();
     loop {
         changes.borrow_and_update();
-        let next = member.core.lock().apply_due();
+        let next = member.replication.lock().apply_due();
         match next {
             Ok(Some(due)) => {
                 sleep_until(due).await;
@@ -238,7 +240,7 @@
                     return;
                 }
             }
-            Err(MemberError::Engine { source: EngineError::Busy }) => sleep(RETRY_INTERVAL).await,
+            Err(MemberError::Sqlite { source: SqliteError::Busy }) => sleep(RETRY_INTERVAL).await,
             Err(error) => {
                 log::error!("member {} cannot apply its log: {error}", member.name);
                 sleep(HEARTBEAT_INTERVAL).await;
--- a/crates/standin/src/member.rs
+++ b/crates/standin/src/member.rs
@@ -12,8 +12,8 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::Instant;
 
-use crate::engine::{EngineConnection, EngineError, MemberEngine};
 use crate::fault::{FaultChange, MemberFault};
+use crate::sqlite::{SqliteConnection, SqliteDatabase, SqliteError};
 
 /// Errors of a member's operations.
 #[derive(Debug, Snafu)]
@@ -23,7 +23,7 @@
     NotPrimary,
     /// The term of a group command is not above the highest accepted one.
     #[snafu(display("term {term} is refused, {promised} was accepted before"))]
-    TermRefused {
+    StaleTerm {
         /// Term of the command.
         term: u64,
         /// Highest accepted term.
@@ -31,9 +31,9 @@
     },
     /// The engine refused an operation.
     #[snafu(display("{source}"), context(false))]
-    Engine {
+    Sqlite {
         /// Cause reported by the engine.
-        source: EngineError,
+        source: SqliteError,
     },
 }
 
@@ -74,13 +74,13 @@
 
 /// Answer of a replica to a batch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum BatchAnswer {
+pub enum BatchResponse {
     /// The replica holds the primary's log up to this index.
-    Held(u64),
+    Matched(u64),
     /// The logs differ before the batch; the primary sends from this index on.
-    Earlier(u64),
+    Mismatch(u64),
     /// The replica follows another term.
-    Refused,
+    NotFollowing,
 }
 
 /// Last acknowledgement of a replica.
@@ -92,7 +92,7 @@
 
 /// State of a member that its operations change together.
 #[derive(Debug)]
-pub struct MemberCore {
+pub struct ReplicationState {
     role: MemberRole,
     term: u64,
     term_start: u64,
@@ -106,15 +106,15 @@
     barrier_at: Option<Instant>,
     labels: HashMap<String, u64>,
     barred: HashSet<String>,
-    engine: MemberEngine,
+    engine: SqliteDatabase,
     /// Counts replacements of the engine and losses of the primary role.
     pub generation: u64,
     /// Faults in force.
     pub fault: MemberFault,
 }
 
-impl MemberCore {
-    fn create() -> Result<Self, EngineError> {
+impl ReplicationState {
+    fn create() -> Result<Self, SqliteError> {
         Ok(Self {
             role: MemberRole::Replica,
             term: 0,
@@ -129,7 +129,7 @@
             barrier_at: None,
             labels: HashMap::new(),
             barred: HashSet::new(),
-            engine: MemberEngine::create()?,
+            engine: SqliteDatabase::create()?,
             generation: 1,
             fault: MemberFault::default(),
         })
@@ -166,7 +166,7 @@
     }
 
     /// Opens a connection to the current engine.
-    pub fn connect(&self) -> Result<EngineConnection, EngineError> {
+    pub fn connect(&self) -> Result<SqliteConnection, SqliteError> {
         self.engine.connect()
     }
 
@@ -184,7 +184,7 @@
     /// Commits the open transaction of `connection` and appends it to the log.
     pub fn commit(
         &mut self,
-        connection: &EngineConnection,
+        connection: &SqliteConnection,
         entry: LogEntry,
     ) -> Result<u64, MemberError> {
         let barred = entry.label.as_ref().is_some_and(|label| self.barred.contains(label));
@@ -200,7 +200,7 @@
     /// Accepts a fence and stops accepting writes and batches of lower terms.
     pub fn fence(&mut self, term: u64) -> Result<MemberStatus, MemberError> {
         if term <= self.promised {
-            return TermRefusedSnafu { term, promised: self.promised }.fail();
+            return StaleTermSnafu { term, promised: self.promised }.fail();
         }
         self.promised = term;
         self.leave_primary(MemberRole::Fenced);
@@ -210,7 +210,7 @@
     /// Becomes the primary of the term that was fenced last.
     pub fn promote(&mut self, term: u64) -> Result<MemberStatus, MemberError> {
         if self.role != MemberRole::Fenced || term != self.promised {
-            return TermRefusedSnafu { term, promised: self.promised }.fail();
+            return StaleTermSnafu { term, promised: self.promised }.fail();
         }
         while self.applied < self.log.len() as u64 {
             self.apply_next()?;
@@ -229,7 +229,7 @@
     pub fn follow(&mut self, term: u64, primary: &str) -> Result<MemberStatus, MemberError> {
         let same = term == self.promised && self.role != MemberRole::Primary;
         if term < self.promised || (term == self.promised && !same) {
-            return TermRefusedSnafu { term, promised: self.promised }.fail();
+            return StaleTermSnafu { term, promised: self.promised }.fail();
         }
         self.promised = term;
         self.follows = Some(primary.to_owned());
@@ -238,18 +238,22 @@
     }
 
     /// Takes a batch from the primary called `primary`.
-    pub fn append(&mut self, primary: &str, batch: &LogBatch) -> Result<BatchAnswer, MemberError> {
+    pub fn append_batch(
+        &mut self,
+        primary: &str,
+        batch: &LogBatch,
+    ) -> Result<BatchResponse, MemberError> {
         let follows = self.follows.as_deref() == Some(primary);
         if self.role != MemberRole::Replica || self.promised != batch.term || !follows {
-            return Ok(BatchAnswer::Refused);
+            return Ok(BatchResponse::NotFollowing);
         }
         self.heard = Instant::now();
         let held = self.log.len() as u64;
         if batch.previous > held {
-            return Ok(BatchAnswer::Earlier(held));
+            return Ok(BatchResponse::Mismatch(held));
         }
         if self.term_at(batch.previous) != batch.previous_term {
-            return Ok(BatchAnswer::Earlier(batch.previous.saturating_sub(1)));
+            return Ok(BatchResponse::Mismatch(batch.previous.saturating_sub(1)));
         }
         for (offset, entry) in batch.entries.iter().enumerate() {
             let index = batch.previous + offset as u64 + 1;
@@ -266,7 +270,7 @@
             self.term = batch.term;
             self.term_start = batch.term_start;
         }
-        Ok(BatchAnswer::Held(end))
+        Ok(BatchResponse::Matched(end))
     }
 
     /// Returns the batch for a replica that holds `held` entries, or none on a replica.
@@ -311,7 +315,7 @@
     }
 
     /// Returns when the last barrier was requested.
-    pub fn barrier_at(&self) -> Option<Instant> {
+    pub fn confirmation_requested_at(&self) -> Option<Instant> {
         self.barrier_at
     }
 
@@ -371,7 +375,7 @@
             return Ok(());
         }
         self.due.clear();
-        self.engine = MemberEngine::create()?;
+        self.engine = SqliteDatabase::create()?;
         self.generation += 1;
         for entry in &self.log {
             apply_entry(&self.engine, entry)?;
@@ -381,7 +385,7 @@
     }
 }
 
-fn apply_entry(engine: &MemberEngine, entry: &LogEntry) -> Result<(), EngineError> {
+fn apply_entry(engine: &SqliteDatabase, entry: &LogEntry) -> Result<(), SqliteError> {
     if entry.statements.is_empty() {
         return Ok(());
     }
@@ -405,7 +409,7 @@
     /// Availability zone of the member.
     pub zone: String,
     /// State that operations change together.
-    pub core: Mutex<MemberCore>,
+    pub replication: Mutex<ReplicationState>,
     /// Counts changes of the state, so that tasks can wait for the next one.
     pub changed: watch::Sender<u64>,
     /// Statements that may run at once.
@@ -413,7 +417,7 @@
     /// Serialises writing transactions in the order of their arrival.
     pub writer: Arc<tokio::sync::Mutex<()>>,
     /// Open connections of callers.
-    pub connections: AtomicU32,
+    pub open_connections: AtomicU32,
     /// Connections opened before this count have gone silent.
     pub silenced: AtomicU64,
     /// Counts connections opened so far.
@@ -424,16 +428,16 @@
 
 impl GroupMember {
     /// Creates an empty member.
-    pub fn create(index: usize, name: &str, zone: &str, slots: usize) -> Result<Self, EngineError> {
+    pub fn create(index: usize, name: &str, zone: &str, slots: usize) -> Result<Self, SqliteError> {
         Ok(Self {
             index,
             name: name.to_owned(),
             zone: zone.to_owned(),
-            core: Mutex::new(MemberCore::create()?),
+            replication: Mutex::new(ReplicationState::create()?),
             changed: watch::Sender::new(0),
             slots: Semaphore::new(slots),
             writer: Arc::default(),
-            connections: AtomicU32::new(0),
+            open_connections: AtomicU32::new(0),
             silenced: AtomicU64::new(0),
             opened: AtomicU64::new(0),
             statements: AtomicU64::new(0),
@@ -441,8 +445,8 @@
     }
 
     /// Runs an operation on the state and wakes the tasks that wait for a change.
-    pub fn update<T>(&self, operation: impl FnOnce(&mut MemberCore) -> T) -> T {
-        let result = operation(&mut self.core.lock());
+    pub fn update<T>(&self, operation: impl FnOnce(&mut ReplicationState) -> T) -> T {
+        let result = operation(&mut self.replication.lock());
         self.changed.send_modify(|count| *count += 1);
         result
     }
@@ -458,12 +462,12 @@
     }
 
     /// Returns the number of statements run so far.
-    pub fn served(&self) -> u64 {
+    pub fn executed_statements(&self) -> u64 {
         self.statements.load(Ordering::Relaxed)
     }
 
     /// Returns the faults in force.
     pub fn fault(&self) -> MemberFault {
-        self.core.lock().fault.clone()
+        self.replication.lock().fault.clone()
     }
 }
--- a/crates/standin/src/session.rs
+++ b/crates/standin/src/session.rs
@@ -24,9 +24,9 @@
 use wire::backend::{self, TransactionState};
 use wire::group::{NOT_PRIMARY, POSITION_PARAMETER, STALE_TERM, TOO_MANY_CONNECTIONS};
 
-use crate::engine::{EngineConnection, EngineError};
 use crate::group::{GroupSettings, zone_delay};
 use crate::member::{GroupMember, LoggedStatement, MemberError};
+use crate::sqlite::{SqliteConnection, SqliteError};
 
 pub(crate) use extended::{PortalState, PreparedStatement};
 
@@ -71,11 +71,11 @@
     }
 }
 
-impl From<EngineError> for StatementRefusal {
-    fn from(error: EngineError) -> Self {
+impl From<SqliteError> for StatementRefusal {
+    fn from(error: SqliteError) -> Self {
         match error {
-            EngineError::Busy => Self::new("40001", "could not serialize access"),
-            EngineError::Statement { sqlstate, message } => Self::new(sqlstate, message),
+            SqliteError::Busy => Self::new("40001", "could not serialize access"),
+            SqliteError::Statement { sqlstate, message } => Self::new(sqlstate, message),
             other => Self::new("XX000", other.to_string()),
         }
     }
@@ -85,8 +85,8 @@
     fn from(error: MemberError) -> Self {
         match error {
             MemberError::NotPrimary => Self::new(NOT_PRIMARY, error.to_string()),
-            MemberError::TermRefused { .. } => Self::new(STALE_TERM, error.to_string()),
-            MemberError::Engine { source } => source.into(),
+            MemberError::StaleTerm { .. } => Self::new(STALE_TERM, error.to_string()),
+            MemberError::Sqlite { source } => source.into(),
         }
     }
 }
@@ -102,7 +102,7 @@
     pub(crate) socket: TcpStream,
     pub(crate) input: BytesMut,
     pub(crate) output: BytesMut,
-    pub(crate) engine: EngineConnection,
+    pub(crate) engine: SqliteConnection,
     pub(crate) generation: u64,
     pub(crate) number: u64,
     pub(crate) delay: Duration,
@@ -161,7 +161,7 @@
 
 impl Drop for ConnectionCount {
     fn drop(&mut self) {
-        self.0.connections.fetch_sub(1, Ordering::SeqCst);
+        self.0.open_connections.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -186,7 +186,7 @@
     let mut count = None;
     if user != CONTROL_USER {
         sleep(Duration::from_millis(settings.connect_ms)).await;
-        let before = member.connections.fetch_add(1, Ordering::SeqCst);
+        let before = member.open_connections.fetch_add(1, Ordering::SeqCst);
         count = Some(ConnectionCount(member.clone()));
         if before >= settings.connections {
             let mut output = BytesMut::new();
@@ -196,7 +196,7 @@
         }
     }
     let (engine, generation) = {
-        let core = member.core.lock();
+        let core = member.replication.lock();
         (core.connect().map_err(|_| SessionEnd::Dropped)?, core.generation)
     };
     let number = member.opened.fetch_add(1, Ordering::SeqCst) + 1;
@@ -371,14 +371,14 @@
         if self.state != TransactionState::Idle {
             return Err(StatementRefusal::new(NOT_PRIMARY, "the primary was replaced"));
         }
-        let core = self.member.core.lock();
+        let core = self.member.replication.lock();
         self.engine = core.connect()?;
         self.generation = core.generation;
         Ok(())
     }
 
     fn is_outdated(&self) -> bool {
-        self.member.core.lock().generation != self.generation
+        self.member.replication.lock().generation != self.generation
     }
 
     pub(crate) fn refuse(&mut self, refusal: &StatementRefusal) {
@@ -390,7 +390,7 @@
 
     /// Reports the member's position if it moved since the last report.
     pub(crate) fn report_position(&mut self) {
-        let position = self.member.core.lock().position();
+        let position = self.member.replication.lock().position();
         if self.reported != Some(position) {
             self.reported = Some(position);
             backend::put_parameter_status(
--- a/crates/standin/src/session/extended.rs
+++ b/crates/standin/src/session/extended.rs
@@ -14,7 +14,7 @@
 
 use super::simple::BlockAction;
 use super::{MemberSession, SessionEnd, StatementRefusal};
-use crate::engine::StatementShape;
+use crate::sqlite::StatementShape;
 use crate::value::{self, ValueFormat};
 
 /// Outcome of one message: a refusal goes to the caller, an end closes the connection.
--- a/crates/standin/src/session/simple.rs
+++ b/crates/standin/src/session/simple.rs
@@ -14,8 +14,8 @@
 
 use super::transaction::ConfirmEnd;
 use super::{MemberSession, SessionEnd, StatementRefusal};
-use crate::engine::{ResultColumn, StatementResult, type_size};
 use crate::member::LoggedStatement;
+use crate::sqlite::{ResultColumn, StatementResult, type_size};
 use crate::value::{ValueFormat, oid};
 
 /// What a statement text does to the transaction block.
@@ -278,7 +278,7 @@
     ) -> Result<String, StatementRefusal> {
         let member = self.member.clone();
         match command {
-            GroupCommand::Status => Ok(member.core.lock().status().to_string()),
+            GroupCommand::Status => Ok(member.replication.lock().status().to_string()),
             GroupCommand::Fence(term) => Ok(member.update(|core| core.fence(term))?.to_string()),
             GroupCommand::Promote(term) => {
                 Ok(member.update(|core| core.promote(term))?.to_string())
@@ -305,7 +305,7 @@
 
     /// Tells whether a labelled transaction is in the log, once a majority vouches for the term.
     async fn outcome(&mut self, label: &str) -> Result<String, StatementRefusal> {
-        let found = self.member.core.lock().settle(label);
+        let found = self.member.replication.lock().settle(label);
         self.unconfirmed = found;
         if self.confirm().await.is_err() {
             return Err(StatementRefusal::new(NOT_PRIMARY, "the primary was replaced"));
--- a/crates/standin/src/session/transaction.rs
+++ b/crates/standin/src/session/transaction.rs
@@ -5,8 +5,8 @@
 use wire::group::NOT_PRIMARY;
 
 use super::{MemberSession, StatementRefusal};
-use crate::engine::EngineError;
 use crate::member::{LogEntry, MemberError};
+use crate::sqlite::SqliteError;
 
 /// Interval at which a locked database is tried again.
 const BUSY_INTERVAL: Duration = Duration::from_millis(1);
@@ -28,14 +28,14 @@
         if !writes {
             return Ok(self.engine.control("BEGIN")?);
         }
-        if !self.member.core.lock().is_primary() {
+        if !self.member.replication.lock().is_primary() {
             return Err(StatementRefusal::new(NOT_PRIMARY, "this member is not the primary"));
         }
         let writer = self.member.writer.clone().lock_owned().await;
         self.refresh_engine()?;
         for _ in 0..BUSY_ATTEMPTS {
             match self.engine.control("BEGIN IMMEDIATE") {
-                Err(EngineError::Busy) => tokio::time::sleep(BUSY_INTERVAL).await,
+                Err(SqliteError::Busy) => tokio::time::sleep(BUSY_INTERVAL).await,
                 Err(error) => return Err(error.into()),
                 Ok(()) => {
                     self.writer = Some(writer);
@@ -43,7 +43,7 @@
                 }
             }
         }
-        Err(EngineError::Busy.into())
+        Err(SqliteError::Busy.into())
     }
 
     /// Commits the open transaction and appends it to the log if it wrote.
@@ -62,7 +62,7 @@
         for _ in 0..BUSY_ATTEMPTS {
             let engine = &self.engine;
             match self.member.update(|core| core.commit(engine, entry.clone())) {
-                Err(MemberError::Engine { source: EngineError::Busy }) => {
+                Err(MemberError::Sqlite { source: SqliteError::Busy }) => {
                     tokio::time::sleep(BUSY_INTERVAL).await;
                 }
                 Err(error) => {
@@ -78,7 +78,7 @@
             }
         }
         self.abandon();
-        Err(EngineError::Busy.into())
+        Err(SqliteError::Busy.into())
     }
 
     /// Rolls back whatever is open.
@@ -103,7 +103,7 @@
         });
         loop {
             {
-                let core = self.member.core.lock();
+                let core = self.member.replication.lock();
                 if !core.is_primary() || core.generation != self.generation {
                     return Err(ConfirmEnd::Replaced);
                 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/sqlite.rs
@@ -8,7 +8,7 @@
 use snafu::{ResultExt as _, Snafu};
 use tempfile::TempDir;
 
-use crate::infer;
+use crate::type_inference;
 use crate::value::{self, ValueFormat, oid, oid_of_declaration};
 
 /// Prepared statements that each connection keeps.
@@ -19,7 +19,7 @@
 
 /// Errors of the embedded engine.
 #[derive(Debug, Snafu)]
-pub enum EngineError {
+pub enum SqliteError {
     /// Another connection holds a lock; the caller tries again.
     #[snafu(display("the database is locked"))]
     Busy,
@@ -45,7 +45,7 @@
     },
 }
 
-impl From<rusqlite::Error> for EngineError {
+impl From<rusqlite::Error> for SqliteError {
     fn from(error: rusqlite::Error) -> Self {
         let code = error.sqlite_error_code();
         let sqlstate = match code {
@@ -93,7 +93,7 @@
 
 /// Database of one member.
 #[derive(Debug)]
-pub struct MemberEngine {
+pub struct SqliteDatabase {
     path: PathBuf,
     /// Connection that applies the log.
     applier: Connection,
@@ -101,9 +101,9 @@
     _directory: TempDir,
 }
 
-impl MemberEngine {
+impl SqliteDatabase {
     /// Creates an empty database.
-    pub fn create() -> Result<Self, EngineError> {
+    pub fn create() -> Result<Self, SqliteError> {
         let directory =
             tempfile::Builder::new().prefix("hibiscus-").tempdir().context(DirectorySnafu)?;
         let path = directory.path().join(DATABASE_FILE);
@@ -114,24 +114,24 @@
     }
 
     /// Opens one more connection to the database.
-    pub fn connect(&self) -> Result<EngineConnection, EngineError> {
+    pub fn connect(&self) -> Result<SqliteConnection, SqliteError> {
         let connection = open(&self.path)?;
         connection.execute_batch("PRAGMA synchronous=OFF;")?;
-        Ok(EngineConnection { connection })
+        Ok(SqliteConnection { connection })
     }
 
     /// Runs one logged statement outside any session.
-    pub fn replay(&self, sql: &str, parameters: &[Value]) -> Result<(), EngineError> {
+    pub fn replay(&self, sql: &str, parameters: &[Value]) -> Result<(), SqliteError> {
         execute(&self.applier, sql, parameters)
     }
 
     /// Runs a transaction control statement on the connection that applies the log.
-    pub fn control(&self, sql: &str) -> Result<(), EngineError> {
+    pub fn control(&self, sql: &str) -> Result<(), SqliteError> {
         Ok(self.applier.execute_batch(sql)?)
     }
 }
 
-fn open(path: &Path) -> Result<Connection, EngineError> {
+fn open(path: &Path) -> Result<Connection, SqliteError> {
     let flags = OpenFlags::SQLITE_OPEN_READ_WRITE
         | OpenFlags::SQLITE_OPEN_CREATE
         | OpenFlags::SQLITE_OPEN_NO_MUTEX;
@@ -142,21 +142,21 @@
 
 /// Connection of one session to its member's database.
 #[derive(Debug)]
-pub struct EngineConnection {
+pub struct SqliteConnection {
     connection: Connection,
 }
 
-impl EngineConnection {
+impl SqliteConnection {
     /// Runs a transaction control statement.
-    pub fn control(&self, sql: &str) -> Result<(), EngineError> {
+    pub fn control(&self, sql: &str) -> Result<(), SqliteError> {
         Ok(self.connection.execute_batch(sql)?)
     }
 
     /// Describes a statement without running it.
-    pub fn describe(&self, sql: &str, declared: &[u32]) -> Result<StatementShape, EngineError> {
+    pub fn describe(&self, sql: &str, declared: &[u32]) -> Result<StatementShape, SqliteError> {
         let statement = self.connection.prepare_cached(sql)?;
         let mut parameters =
-            infer::parameter_types(&self.connection, sql, statement.parameter_count());
+            type_inference::parameter_types(&self.connection, sql, statement.parameter_count());
         for (slot, declared) in parameters.iter_mut().zip(declared) {
             if *declared != 0 {
                 *slot = *declared;
@@ -170,7 +170,7 @@
     }
 
     /// Tells whether a statement only reads.
-    pub fn is_readonly(&self, sql: &str) -> Result<bool, EngineError> {
+    pub fn is_readonly(&self, sql: &str) -> Result<bool, SqliteError> {
         Ok(self.connection.prepare_cached(sql)?.readonly())
     }
 
@@ -180,7 +180,7 @@
         sql: &str,
         parameters: &[Value],
         formats: &[i16],
-    ) -> Result<StatementResult, EngineError> {
+    ) -> Result<StatementResult, SqliteError> {
         let mut statement = self.connection.prepare_cached(sql)?;
         bind(&mut statement, parameters)?;
         let columns = columns_of(&statement);
@@ -203,7 +203,7 @@
     }
 }
 
-fn execute(connection: &Connection, sql: &str, parameters: &[Value]) -> Result<(), EngineError> {
+fn execute(connection: &Connection, sql: &str, parameters: &[Value]) -> Result<(), SqliteError> {
     let mut statement = connection.prepare_cached(sql)?;
     bind(&mut statement, parameters)?;
     let mut rows = statement.raw_query();
@@ -211,7 +211,7 @@
     Ok(())
 }
 
-fn bind(statement: &mut rusqlite::Statement<'_>, values: &[Value]) -> Result<(), EngineError> {
+fn bind(statement: &mut rusqlite::Statement<'_>, values: &[Value]) -> Result<(), SqliteError> {
     for (index, value) in values.iter().enumerate() {
         // The engine numbers `$1` by first appearance, so the name decides the slot.
         let named = statement.parameter_index(&format!("${}", index + 1))?;
@@ -229,7 +229,7 @@
         .map(|column| {
             let oid = match column.decl_type() {
                 Some(declaration) => oid_of_declaration(declaration),
-                None => infer::expression_type(column.name()),
+                None => type_inference::expression_type(column.name()),
             };
             ResultColumn { name: short_name(column.name()), oid }
         })
