--- a/crates/standin/src/member.rs
+++ b/crates/standin/src/member.rs
@@ -65,7 +65,7 @@
     /// Index at which the primary's term started.
     pub term_start: u64,
     /// Index of the entry before the first one sent.
-    pub previous: u64,
+    pub previous_index: u64,
     /// Term of that entry.
     pub previous_term: u64,
     /// Entries sent, none for a heartbeat.
@@ -86,7 +86,7 @@
 /// Last acknowledgement of a replica.
 #[derive(Clone, Copy, Debug)]
 struct ReplicaAck {
-    held: u64,
+    match_index: u64,
     sent_at: Instant,
 }
 
@@ -97,16 +97,16 @@
     term: u64,
     term_start: u64,
     promised: u64,
-    follows: Option<String>,
+    followed_primary: Option<String>,
     log: Vec<Arc<LogEntry>>,
-    due: VecDeque<Instant>,
+    apply_times: VecDeque<Instant>,
     applied: u64,
-    heard: Instant,
+    last_contact: Instant,
     acks: HashMap<usize, ReplicaAck>,
-    barrier_at: Option<Instant>,
+    confirmation_requested_at: Option<Instant>,
     labels: HashMap<String, u64>,
-    barred: HashSet<String>,
-    engine: SqliteDatabase,
+    rejected_labels: HashSet<String>,
+    database: SqliteDatabase,
     /// Counts replacements of the engine and losses of the primary role.
     pub generation: u64,
     /// Faults in force.
@@ -120,16 +120,16 @@
             term: 0,
             term_start: 0,
             promised: 0,
-            follows: None,
+            followed_primary: None,
             log: Vec::new(),
-            due: VecDeque::new(),
+            apply_times: VecDeque::new(),
             applied: 0,
-            heard: Instant::now(),
+            last_contact: Instant::now(),
             acks: HashMap::new(),
-            barrier_at: None,
+            confirmation_requested_at: None,
             labels: HashMap::new(),
-            barred: HashSet::new(),
-            engine: SqliteDatabase::create()?,
+            rejected_labels: HashSet::new(),
+            database: SqliteDatabase::create()?,
             generation: 1,
             fault: MemberFault::default(),
         })
@@ -152,33 +152,33 @@
 
     /// Returns the full status.
     pub fn status(&self) -> MemberStatus {
-        let heard = match self.role {
+        let contact_age = match self.role {
             MemberRole::Primary => Duration::ZERO,
-            MemberRole::Replica | MemberRole::Fenced => self.heard.elapsed(),
+            MemberRole::Replica | MemberRole::Fenced => self.last_contact.elapsed(),
         };
         MemberStatus {
             position: self.position(),
             promised: self.promised,
             last_term: self.log.last().map_or(0, |entry| entry.term),
             received: self.log.len() as u64,
-            last_contact_ms: heard.as_millis() as u64,
+            last_contact_ms: contact_age.as_millis() as u64,
         }
     }
 
     /// Opens a connection to the current engine.
     pub fn connect(&self) -> Result<SqliteConnection, SqliteError> {
-        self.engine.connect()
+        self.database.connect()
     }
 
     /// Returns the index at which a labelled transaction stands in the log, or bars the label.
     ///
     /// A barred label never commits on this member, so the answer stays true.
-    pub fn settle(&mut self, label: &str) -> Option<u64> {
-        let found = self.labels.get(label).copied();
-        if found.is_none() {
-            self.barred.insert(label.to_owned());
+    pub fn resolve_outcome(&mut self, label: &str) -> Option<u64> {
+        let index = self.labels.get(label).copied();
+        if index.is_none() {
+            self.rejected_labels.insert(label.to_owned());
         }
-        found
+        index
     }
 
     /// Commits the open transaction of `connection` and appends it to the log.
@@ -187,12 +187,13 @@
         connection: &SqliteConnection,
         entry: LogEntry,
     ) -> Result<u64, MemberError> {
-        let barred = entry.label.as_ref().is_some_and(|label| self.barred.contains(label));
-        if self.role != MemberRole::Primary || barred {
+        let is_rejected =
+            entry.label.as_ref().is_some_and(|label| self.rejected_labels.contains(label));
+        if self.role != MemberRole::Primary || is_rejected {
             return NotPrimarySnafu.fail();
         }
-        connection.control("COMMIT")?;
-        self.push(LogEntry { term: self.term, ..entry });
+        connection.control_transaction("COMMIT")?;
+        self.append_entry(LogEntry { term: self.term, ..entry });
         self.applied = self.log.len() as u64;
         Ok(self.applied)
     }
@@ -203,7 +204,7 @@
             return StaleTermSnafu { term, promised: self.promised }.fail();
         }
         self.promised = term;
-        self.leave_primary(MemberRole::Fenced);
+        self.step_down(MemberRole::Fenced);
         Ok(self.status())
     }
 
@@ -215,25 +216,25 @@
         while self.applied < self.log.len() as u64 {
             self.apply_next()?;
         }
-        self.due.clear();
+        self.apply_times.clear();
         self.role = MemberRole::Primary;
         self.term = term;
         self.term_start = self.log.len() as u64;
         self.acks.clear();
-        self.push(LogEntry { term, ..LogEntry::default() });
+        self.append_entry(LogEntry { term, ..LogEntry::default() });
         self.applied = self.log.len() as u64;
         Ok(self.status())
     }
 
     /// Follows the primary of a term from now on.
     pub fn follow(&mut self, term: u64, primary: &str) -> Result<MemberStatus, MemberError> {
-        let same = term == self.promised && self.role != MemberRole::Primary;
-        if term < self.promised || (term == self.promised && !same) {
+        let accepted_before = term == self.promised && self.role != MemberRole::Primary;
+        if term < self.promised || (term == self.promised && !accepted_before) {
             return StaleTermSnafu { term, promised: self.promised }.fail();
         }
         self.promised = term;
-        self.follows = Some(primary.to_owned());
-        self.leave_primary(MemberRole::Replica);
+        self.followed_primary = Some(primary.to_owned());
+        self.step_down(MemberRole::Replica);
         Ok(self.status())
     }
 
@@ -243,28 +244,28 @@
         primary: &str,
         batch: &LogBatch,
     ) -> Result<BatchResponse, MemberError> {
-        let follows = self.follows.as_deref() == Some(primary);
-        if self.role != MemberRole::Replica || self.promised != batch.term || !follows {
+        let is_followed = self.followed_primary.as_deref() == Some(primary);
+        if self.role != MemberRole::Replica || self.promised != batch.term || !is_followed {
             return Ok(BatchResponse::NotFollowing);
         }
-        self.heard = Instant::now();
-        let held = self.log.len() as u64;
-        if batch.previous > held {
-            return Ok(BatchResponse::Mismatch(held));
+        self.last_contact = Instant::now();
+        let last_index = self.log.len() as u64;
+        if batch.previous_index > last_index {
+            return Ok(BatchResponse::Mismatch(last_index));
         }
-        if self.term_at(batch.previous) != batch.previous_term {
-            return Ok(BatchResponse::Mismatch(batch.previous.saturating_sub(1)));
+        if self.term_at(batch.previous_index) != batch.previous_term {
+            return Ok(BatchResponse::Mismatch(batch.previous_index.saturating_sub(1)));
         }
         for (offset, entry) in batch.entries.iter().enumerate() {
-            let index = batch.previous + offset as u64 + 1;
+            let index = batch.previous_index + offset as u64 + 1;
             if self.term_at(index) == entry.term {
                 continue;
             }
-            self.truncate(index - 1)?;
-            self.push((**entry).clone());
-            self.due.push_back(Instant::now() + Duration::from_millis(self.fault.lag_ms));
+            self.truncate_log(index - 1)?;
+            self.append_entry((**entry).clone());
+            self.apply_times.push_back(Instant::now() + Duration::from_millis(self.fault.lag_ms));
         }
-        let end = batch.previous + batch.entries.len() as u64;
+        let end = batch.previous_index + batch.entries.len() as u64;
         // The first entry of a term replaces whatever an older primary left in its place.
         if self.term != batch.term && end > batch.term_start {
             self.term = batch.term;
@@ -274,49 +275,49 @@
     }
 
     /// Returns the batch for a replica that holds `held` entries, or none on a replica.
-    pub fn batch_after(&self, held: u64, limit: usize) -> Option<LogBatch> {
+    pub fn batch_after(&self, match_index: u64, max_entries: usize) -> Option<LogBatch> {
         if !self.is_primary() {
             return None;
         }
-        let start = (held as usize).min(self.log.len());
-        let end = (start + limit).min(self.log.len());
+        let start = (match_index as usize).min(self.log.len());
+        let end = (start + max_entries).min(self.log.len());
         Some(LogBatch {
             term: self.term,
             term_start: self.term_start,
-            previous: start as u64,
+            previous_index: start as u64,
             previous_term: self.term_at(start as u64),
             entries: self.log[start..end].to_vec(),
         })
     }
 
     /// Records an acknowledgement of the replica `peer`.
-    pub fn acknowledge(&mut self, peer: usize, term: u64, held: u64, sent_at: Instant) {
+    pub fn acknowledge(&mut self, replica: usize, term: u64, match_index: u64, sent_at: Instant) {
         if self.role == MemberRole::Primary && self.term == term {
-            self.acks.insert(peer, ReplicaAck { held, sent_at });
+            self.acks.insert(replica, ReplicaAck { match_index, sent_at });
         }
     }
 
     /// Tells whether a majority of `size` members holds `index` in the term of this primary.
     ///
     /// With `since`, only acknowledgements of batches sent at or after it count.
-    pub fn is_confirmed(&self, index: u64, size: usize, since: Option<Instant>) -> bool {
+    pub fn has_quorum(&self, index: u64, group_size: usize, sent_since: Option<Instant>) -> bool {
         let target = index.max(self.term_start + 1);
-        let counts = |ack: &&ReplicaAck| {
-            ack.held >= target && since.is_none_or(|since| ack.sent_at >= since)
+        let acknowledges = |ack: &&ReplicaAck| {
+            ack.match_index >= target && sent_since.is_none_or(|since| ack.sent_at >= since)
         };
-        1 + self.acks.values().filter(counts).count() > size / 2
+        1 + self.acks.values().filter(acknowledges).count() > group_size / 2
     }
 
     /// Asks for batches sent from now on, whose acknowledgements prove that the term goes on.
-    pub fn request_barrier(&mut self) -> Instant {
+    pub fn request_confirmation(&mut self) -> Instant {
         let now = Instant::now();
-        self.barrier_at = Some(now);
+        self.confirmation_requested_at = Some(now);
         now
     }
 
     /// Returns when the last barrier was requested.
     pub fn confirmation_requested_at(&self) -> Option<Instant> {
-        self.barrier_at
+        self.confirmation_requested_at
     }
 
     /// Returns the last index of the log.
@@ -326,32 +327,32 @@
 
     /// Applies entries whose time has come and returns when the next one is due.
     pub fn apply_due(&mut self) -> Result<Option<Instant>, MemberError> {
-        while let Some(due) = self.due.front().copied() {
+        while let Some(due) = self.apply_times.front().copied() {
             if due > Instant::now() {
                 return Ok(Some(due));
             }
             self.apply_next()?;
-            self.due.pop_front();
+            self.apply_times.pop_front();
         }
         Ok(None)
     }
 
     fn apply_next(&mut self) -> Result<(), MemberError> {
         let entry = self.log[self.applied as usize].clone();
-        apply_entry(&self.engine, &entry)?;
+        replay_entry(&self.database, &entry)?;
         self.applied += 1;
         Ok(())
     }
 
-    fn leave_primary(&mut self, role: MemberRole) {
+    fn step_down(&mut self, role: MemberRole) {
         if self.role == MemberRole::Primary {
             self.generation += 1;
-            self.heard = Instant::now();
+            self.last_contact = Instant::now();
         }
         self.role = role;
     }
 
-    fn push(&mut self, entry: LogEntry) {
+    fn append_entry(&mut self, entry: LogEntry) {
         if let Some(label) = &entry.label {
             self.labels.insert(label.clone(), self.log.len() as u64 + 1);
         }
@@ -364,39 +365,39 @@
     }
 
     /// Drops entries past `end` and rebuilds the database if some of them were applied.
-    fn truncate(&mut self, end: u64) -> Result<(), MemberError> {
+    fn truncate_log(&mut self, end: u64) -> Result<(), MemberError> {
         if self.log.len() as u64 <= end {
             return Ok(());
         }
         self.log.truncate(end as usize);
         self.labels.retain(|_, index| *index <= end);
         if self.applied <= end {
-            self.due.truncate((end - self.applied) as usize);
+            self.apply_times.truncate((end - self.applied) as usize);
             return Ok(());
         }
-        self.due.clear();
-        self.engine = SqliteDatabase::create()?;
+        self.apply_times.clear();
+        self.database = SqliteDatabase::create()?;
         self.generation += 1;
         for entry in &self.log {
-            apply_entry(&self.engine, entry)?;
+            replay_entry(&self.database, entry)?;
         }
         self.applied = end;
         Ok(())
     }
 }
 
-fn apply_entry(engine: &SqliteDatabase, entry: &LogEntry) -> Result<(), SqliteError> {
+fn replay_entry(database: &SqliteDatabase, entry: &LogEntry) -> Result<(), SqliteError> {
     if entry.statements.is_empty() {
         return Ok(());
     }
-    engine.control("BEGIN IMMEDIATE")?;
+    database.control_transaction("BEGIN IMMEDIATE")?;
     for statement in &entry.statements {
-        if let Err(error) = engine.replay(&statement.sql, &statement.parameters) {
-            engine.control("ROLLBACK")?;
+        if let Err(error) = database.replay(&statement.sql, &statement.parameters) {
+            database.control_transaction("ROLLBACK")?;
             return Err(error);
         }
     }
-    engine.control("COMMIT")
+    database.control_transaction("COMMIT")
 }
 
 /// Member of a group as its tasks share it.
@@ -413,17 +414,17 @@
     /// Counts changes of the state, so that tasks can wait for the next one.
     pub changed: watch::Sender<u64>,
     /// Statements that may run at once.
-    pub slots: Semaphore,
+    pub statement_slots: Semaphore,
     /// Serialises writing transactions in the order of their arrival.
-    pub writer: Arc<tokio::sync::Mutex<()>>,
+    pub write_lock: Arc<tokio::sync::Mutex<()>>,
     /// Open connections of callers.
     pub open_connections: AtomicU32,
     /// Connections opened before this count have gone silent.
-    pub silenced: AtomicU64,
+    pub unresponsive_up_to: AtomicU64,
     /// Counts connections opened so far.
-    pub opened: AtomicU64,
+    pub total_connections: AtomicU64,
     /// Counts statements run so far, group commands left out.
-    pub statements: AtomicU64,
+    pub executed_statements: AtomicU64,
 }
 
 impl GroupMember {
@@ -435,12 +436,12 @@
             zone: zone.to_owned(),
             replication: Mutex::new(ReplicationState::create()?),
             changed: watch::Sender::new(0),
-            slots: Semaphore::new(slots),
-            writer: Arc::default(),
+            statement_slots: Semaphore::new(slots),
+            write_lock: Arc::default(),
             open_connections: AtomicU32::new(0),
-            silenced: AtomicU64::new(0),
-            opened: AtomicU64::new(0),
-            statements: AtomicU64::new(0),
+            unresponsive_up_to: AtomicU64::new(0),
+            total_connections: AtomicU64::new(0),
+            executed_statements: AtomicU64::new(0),
         })
     }
 
@@ -453,17 +454,17 @@
 
     /// Changes the faults in force.
     pub fn change_fault(&self, change: &FaultChange) {
-        self.update(|core| core.fault.change(change));
+        self.update(|state| state.fault.change(change));
         if change.silence {
-            let opened = self.opened.load(Ordering::SeqCst);
-            self.silenced.store(opened, Ordering::SeqCst);
+            let total = self.total_connections.load(Ordering::SeqCst);
+            self.unresponsive_up_to.store(total, Ordering::SeqCst);
             self.changed.send_modify(|count| *count += 1);
         }
     }
 
     /// Returns the number of statements run so far.
     pub fn executed_statements(&self) -> u64 {
-        self.statements.load(Ordering::Relaxed)
+        self.executed_statements.load(Ordering::Relaxed)
     }
 
     /// Returns the faults in force.
--- a/crates/standin/src/session.rs
+++ b/crates/standin/src/session.rs
@@ -33,13 +33,13 @@
 /// User name whose connections do not count against the connection limit.
 pub const CONTROL_USER: &str = "hibiscus-control";
 /// Application name by which a proxy tells its availability zone.
-pub const ZONE_PREFIX: &str = "hibiscus/";
+pub const APPLICATION_NAME_PREFIX: &str = "hibiscus/";
 /// Bytes collected before they are written to the socket.
 const WRITE_THRESHOLD: usize = 64 * 1024;
 /// Time after which the locks of a transaction are freed whose caller cannot be reached.
-const IDLE_TRANSACTION_LIMIT: Duration = Duration::from_secs(1);
+const IDLE_TRANSACTION_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval at which a paused session looks whether it may go on.
-const PAUSE_INTERVAL: Duration = Duration::from_millis(10);
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why a session ends.
 #[derive(Debug)]
@@ -60,18 +60,18 @@
 
 /// Refusal of a statement.
 #[derive(Clone, Debug)]
-pub(crate) struct StatementRefusal {
+pub(crate) struct ErrorResponse {
     pub(crate) sqlstate: &'static str,
     pub(crate) message: String,
 }
 
-impl StatementRefusal {
+impl ErrorResponse {
     pub(crate) fn new(sqlstate: &'static str, message: impl Into<String>) -> Self {
         Self { sqlstate, message: message.into() }
     }
 }
 
-impl From<SqliteError> for StatementRefusal {
+impl From<SqliteError> for ErrorResponse {
     fn from(error: SqliteError) -> Self {
         match error {
             SqliteError::Busy => Self::new("40001", "could not serialize access"),
@@ -81,7 +81,7 @@
     }
 }
 
-impl From<MemberError> for StatementRefusal {
+impl From<MemberError> for ErrorResponse {
     fn from(error: MemberError) -> Self {
         match error {
             MemberError::NotPrimary => Self::new(NOT_PRIMARY, error.to_string()),
@@ -102,20 +102,20 @@
     pub(crate) socket: TcpStream,
     pub(crate) input: BytesMut,
     pub(crate) output: BytesMut,
-    pub(crate) engine: SqliteConnection,
+    pub(crate) connection: SqliteConnection,
     pub(crate) generation: u64,
-    pub(crate) number: u64,
-    pub(crate) delay: Duration,
-    pub(crate) state: TransactionState,
-    pub(crate) writer: Option<tokio::sync::OwnedMutexGuard<()>>,
-    pub(crate) logged: Vec<LoggedStatement>,
+    pub(crate) connection_id: u64,
+    pub(crate) round_trip_delay: Duration,
+    pub(crate) transaction_state: TransactionState,
+    pub(crate) write_guard: Option<tokio::sync::OwnedMutexGuard<()>>,
+    pub(crate) logged_statements: Vec<LoggedStatement>,
     pub(crate) label: Option<String>,
-    pub(crate) unconfirmed: Option<u64>,
-    pub(crate) committed: bool,
-    pub(crate) reported: Option<MemberPosition>,
-    pub(crate) statements: HashMap<String, PreparedStatement>,
+    pub(crate) unconfirmed_index: Option<u64>,
+    pub(crate) has_unanswered_commit: bool,
+    pub(crate) reported_position: Option<MemberPosition>,
+    pub(crate) prepared_statements: HashMap<String, PreparedStatement>,
     pub(crate) portals: HashMap<String, PortalState>,
-    pub(crate) skipping: bool,
+    pub(crate) skip_until_sync: bool,
     pub(crate) cancel: Arc<Notify>,
 }
 
@@ -129,7 +129,7 @@
     let registry = Arc::new(CancelRegistry::default());
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            sleep(PAUSE_INTERVAL).await;
+            sleep(PAUSE_POLL_INTERVAL).await;
             continue;
         };
         let _ = socket.set_nodelay(true);
@@ -147,7 +147,7 @@
                     }
                 }
             };
-            let run = accept(socket, member.clone(), settings, group_size, registry);
+            let run = run_connection(socket, member.clone(), settings, group_size, registry);
             tokio::select! {
                 end = run => debug!("session of {} ended: {end:?}", member.name),
                 () = stopped => debug!("session of {} dropped", member.name),
@@ -157,22 +157,22 @@
 }
 
 /// Counts a connection against the limit for as long as it lives.
-struct ConnectionCount(Arc<GroupMember>);
+struct ConnectionGuard(Arc<GroupMember>);
 
-impl Drop for ConnectionCount {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.open_connections.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-async fn accept(
+async fn run_connection(
     mut socket: TcpStream,
     member: Arc<GroupMember>,
     settings: Arc<GroupSettings>,
     group_size: usize,
     registry: Arc<CancelRegistry>,
 ) -> Result<(), SessionEnd> {
-    hold_while_paused(&member).await;
+    wait_while_paused(&member).await;
     let mut input = BytesMut::with_capacity(4096);
     let Some(startup) = read_startup(&mut socket, &mut input, &registry).await? else {
         return Ok(());
@@ -180,14 +180,14 @@
     let user = startup.get("user").cloned().unwrap_or_default();
     let zone = startup
         .get("application_name")
-        .and_then(|name| name.strip_prefix(ZONE_PREFIX))
+        .and_then(|name| name.strip_prefix(APPLICATION_NAME_PREFIX))
         .unwrap_or(&member.zone)
         .to_owned();
-    let mut count = None;
+    let mut guard = None;
     if user != CONTROL_USER {
         sleep(Duration::from_millis(settings.connect_ms)).await;
         let before = member.open_connections.fetch_add(1, Ordering::SeqCst);
-        count = Some(ConnectionCount(member.clone()));
+        guard = Some(ConnectionGuard(member.clone()));
         if before >= settings.connections {
             let mut output = BytesMut::new();
             backend::put_error(&mut output, TOO_MANY_CONNECTIONS, "too many connections");
@@ -195,14 +195,14 @@
             return Ok(());
         }
     }
-    let (engine, generation) = {
-        let core = member.replication.lock();
-        (core.connect().map_err(|_| SessionEnd::Dropped)?, core.generation)
+    let (connection, generation) = {
+        let state = member.replication.lock();
+        (state.connect().map_err(|_| SessionEnd::Dropped)?, state.generation)
     };
-    let number = member.opened.fetch_add(1, Ordering::SeqCst) + 1;
+    let connection_id = member.total_connections.fetch_add(1, Ordering::SeqCst) + 1;
     let cancel = Arc::new(Notify::new());
-    registry.lock().insert(number as i32, cancel.clone());
-    let delay = 2 * zone_delay(&settings, &zone, &member.zone);
+    registry.lock().insert(connection_id as i32, cancel.clone());
+    let round_trip_delay = 2 * zone_delay(&settings, &zone, &member.zone);
     let mut session = MemberSession {
         member,
         settings,
@@ -210,26 +210,26 @@
         socket,
         input,
         output: BytesMut::new(),
-        engine,
+        connection,
         generation,
-        number,
-        delay,
-        state: TransactionState::Idle,
-        writer: None,
-        logged: Vec::new(),
+        connection_id,
+        round_trip_delay,
+        transaction_state: TransactionState::Idle,
+        write_guard: None,
+        logged_statements: Vec::new(),
         label: None,
-        unconfirmed: None,
-        committed: false,
-        reported: None,
-        statements: HashMap::new(),
+        unconfirmed_index: None,
+        has_unanswered_commit: false,
+        reported_position: None,
+        prepared_statements: HashMap::new(),
         portals: HashMap::new(),
-        skipping: false,
+        skip_until_sync: false,
         cancel,
     };
     let end = session.run().await;
-    session.abandon();
-    registry.lock().remove(&(number as i32));
-    drop(count);
+    session.roll_back();
+    registry.lock().remove(&(connection_id as i32));
+    drop(guard);
     end
 }
 
@@ -267,15 +267,15 @@
     }
 }
 
-async fn hold_while_paused(member: &GroupMember) {
+async fn wait_while_paused(member: &GroupMember) {
     while member.fault().paused {
-        sleep(PAUSE_INTERVAL).await;
+        sleep(PAUSE_POLL_INTERVAL).await;
     }
 }
 
 impl MemberSession {
     async fn run(&mut self) -> Result<(), SessionEnd> {
-        self.greet().await?;
+        self.complete_startup().await?;
         let mut context = DecodeContext::default();
         context.awaiting_frontend_ssl = false;
         context.awaiting_frontend_startup = false;
@@ -284,16 +284,16 @@
                 .map_err(|_| SessionEnd::Closed)?;
             match message {
                 Some(PgWireFrontendMessage::Terminate(_)) => return Ok(()),
-                Some(message) => self.handle(message).await?,
+                Some(message) => self.handle_message(message).await?,
                 None => {
                     self.flush().await?;
-                    self.read().await?;
+                    self.read_input().await?;
                 }
             }
         }
     }
 
-    async fn greet(&mut self) -> Result<(), SessionEnd> {
+    async fn complete_startup(&mut self) -> Result<(), SessionEnd> {
         backend::put(&mut self.output, PgWireBackendMessage::Authentication(Authentication::Ok));
         for (name, value) in [
             ("server_version", "15.0"),
@@ -305,22 +305,25 @@
         ] {
             backend::put_parameter_status(&mut self.output, name, value);
         }
-        let key = BackendKeyData::new(self.number as i32, SecretKey::I32(self.number as i32));
+        let key = BackendKeyData::new(
+            self.connection_id as i32,
+            SecretKey::I32(self.connection_id as i32),
+        );
         backend::put(&mut self.output, PgWireBackendMessage::BackendKeyData(key));
-        self.put_ready();
+        self.put_ready_for_query();
         self.flush().await
     }
 
     /// Waits for bytes; an open transaction ends when the member loses the primary role.
-    async fn read(&mut self) -> Result<(), SessionEnd> {
+    async fn read_input(&mut self) -> Result<(), SessionEnd> {
         let mut changes = self.member.changed.subscribe();
         loop {
-            if self.state != TransactionState::Idle && self.is_outdated() {
+            if self.transaction_state != TransactionState::Idle && self.is_outdated() {
                 backend::put_error(&mut self.output, NOT_PRIMARY, "the primary was replaced");
                 self.flush().await?;
                 return Err(SessionEnd::Dropped);
             }
-            let in_transaction = self.state != TransactionState::Idle;
+            let in_transaction = self.transaction_state != TransactionState::Idle;
             tokio::select! {
                 read = self.socket.read_buf(&mut self.input) => {
                     if read? == 0 {
@@ -331,22 +334,22 @@
                 _ = changes.changed(), if in_transaction => {}
             }
         }
-        hold_while_paused(&self.member).await;
-        if self.number <= self.member.silenced.load(Ordering::SeqCst) {
+        wait_while_paused(&self.member).await;
+        if self.connection_id <= self.member.unresponsive_up_to.load(Ordering::SeqCst) {
             // The connection went silent: it stays open and never answers, but a transaction does
             // not keep its locks for good.
-            sleep(IDLE_TRANSACTION_LIMIT).await;
-            self.abandon();
+            sleep(IDLE_TRANSACTION_TIMEOUT).await;
+            self.roll_back();
             std::future::pending::<()>().await;
         }
-        if !self.delay.is_zero() {
-            sleep(self.delay).await;
+        if !self.round_trip_delay.is_zero() {
+            sleep(self.round_trip_delay).await;
         }
         Ok(())
     }
 
-    async fn handle(&mut self, message: PgWireFrontendMessage) -> Result<(), SessionEnd> {
-        if self.skipping && !matches!(message, PgWireFrontendMessage::Sync(_)) {
+    async fn handle_message(&mut self, message: PgWireFrontendMessage) -> Result<(), SessionEnd> {
+        if self.skip_until_sync && !matches!(message, PgWireFrontendMessage::Sync(_)) {
             return Ok(());
         }
         match message {
@@ -354,9 +357,9 @@
             PgWireFrontendMessage::Sync(_) => self.sync().await,
             PgWireFrontendMessage::Flush(_) => self.flush().await,
             other => {
-                if let Err(refusal) = self.extended_message(other).await? {
-                    self.refuse(&refusal);
-                    self.skipping = true;
+                if let Err(error) = self.extended_message(other).await? {
+                    self.fail_statement(&error);
+                    self.skip_until_sync = true;
                 }
                 Ok(())
             }
@@ -364,16 +367,16 @@
     }
 
     /// Replaces the engine's connection after the database was rebuilt.
-    pub(crate) fn refresh_engine(&mut self) -> Result<(), StatementRefusal> {
+    pub(crate) fn refresh_connection(&mut self) -> Result<(), ErrorResponse> {
         if !self.is_outdated() {
             return Ok(());
         }
-        if self.state != TransactionState::Idle {
-            return Err(StatementRefusal::new(NOT_PRIMARY, "the primary was replaced"));
+        if self.transaction_state != TransactionState::Idle {
+            return Err(ErrorResponse::new(NOT_PRIMARY, "the primary was replaced"));
         }
-        let core = self.member.replication.lock();
-        self.engine = core.connect()?;
-        self.generation = core.generation;
+        let state = self.member.replication.lock();
+        self.connection = state.connect()?;
+        self.generation = state.generation;
         Ok(())
     }
 
@@ -381,18 +384,18 @@
         self.member.replication.lock().generation != self.generation
     }
 
-    pub(crate) fn refuse(&mut self, refusal: &StatementRefusal) {
-        if self.state == TransactionState::Open {
-            self.state = TransactionState::Failed;
+    pub(crate) fn fail_statement(&mut self, error: &ErrorResponse) {
+        if self.transaction_state == TransactionState::Open {
+            self.transaction_state = TransactionState::Failed;
         }
-        backend::put_error(&mut self.output, refusal.sqlstate, &refusal.message);
+        backend::put_error(&mut self.output, error.sqlstate, &error.message);
     }
 
     /// Reports the member's position if it moved since the last report.
     pub(crate) fn report_position(&mut self) {
         let position = self.member.replication.lock().position();
-        if self.reported != Some(position) {
-            self.reported = Some(position);
+        if self.reported_position != Some(position) {
+            self.reported_position = Some(position);
             backend::put_parameter_status(
                 &mut self.output,
                 POSITION_PARAMETER,
@@ -401,9 +404,9 @@
         }
     }
 
-    pub(crate) fn put_ready(&mut self) {
+    pub(crate) fn put_ready_for_query(&mut self) {
         self.report_position();
-        backend::put_ready_for_query(&mut self.output, self.state);
+        backend::put_ready_for_query(&mut self.output, self.transaction_state);
     }
 
     pub(crate) async fn flush_if_large(&mut self) -> Result<(), SessionEnd> {
@@ -414,7 +417,7 @@
     }
 
     async fn flush(&mut self) -> Result<(), SessionEnd> {
-        hold_while_paused(&self.member).await;
+        wait_while_paused(&self.member).await;
         if !self.output.is_empty() {
             self.socket.write_all(&self.output).await?;
             self.output.clear();
--- a/crates/standin/src/session/extended.rs
+++ b/crates/standin/src/session/extended.rs
@@ -12,30 +12,30 @@
 use rusqlite::types::Value;
 use wire::backend::{self, TransactionState};
 
-use super::simple::BlockAction;
-use super::{MemberSession, SessionEnd, StatementRefusal};
-use crate::sqlite::StatementShape;
+use super::simple::ControlStatement;
+use super::{ErrorResponse, MemberSession, SessionEnd};
+use crate::sqlite::StatementDescription;
 use crate::value::{self, ValueFormat};
 
 /// Outcome of one message: a refusal goes to the caller, an end closes the connection.
-type MessageResult = Result<Result<(), StatementRefusal>, SessionEnd>;
+type MessageResult = Result<Result<(), ErrorResponse>, SessionEnd>;
 
 /// Prepared statement of a session.
 #[derive(Clone, Debug)]
 pub(crate) struct PreparedStatement {
     sql: String,
-    shape: StatementShape,
+    description: StatementDescription,
 }
 
 /// Portal of a session.
 #[derive(Clone, Debug)]
 pub(crate) struct PortalState {
     sql: String,
-    shape: StatementShape,
+    description: StatementDescription,
     values: Vec<Value>,
-    formats: Vec<i16>,
-    pending: Option<VecDeque<BytesMut>>,
-    tag: String,
+    result_formats: Vec<i16>,
+    pending_rows: Option<VecDeque<BytesMut>>,
+    command_tag: String,
 }
 
 impl MemberSession {
@@ -51,7 +51,7 @@
             PgWireFrontendMessage::Close(close) => {
                 let name = close.name.unwrap_or_default();
                 if close.target_type == b'S' {
-                    self.statements.remove(&name);
+                    self.prepared_statements.remove(&name);
                 } else {
                     self.portals.remove(&name);
                 }
@@ -59,50 +59,51 @@
                 backend::put(&mut self.output, message);
                 Ok(Ok(()))
             }
-            _ => Ok(Err(StatementRefusal::new("0A000", "message is not supported"))),
+            _ => Ok(Err(ErrorResponse::new("0A000", "message is not supported"))),
         }
     }
 
     /// Ends an extended exchange; portals live no longer than their transaction.
     pub(crate) async fn sync(&mut self) -> Result<(), SessionEnd> {
-        self.skipping = false;
-        if self.state == TransactionState::Idle {
+        self.skip_until_sync = false;
+        if self.transaction_state == TransactionState::Idle {
             self.portals.clear();
         }
-        self.put_ready();
+        self.put_ready_for_query();
         Ok(())
     }
 
-    fn parse(&mut self, parse: Parse) -> Result<(), StatementRefusal> {
-        self.refresh_engine()?;
+    fn parse(&mut self, parse: Parse) -> Result<(), ErrorResponse> {
+        self.refresh_connection()?;
         let sql = parse.query.trim().trim_end_matches(';').trim().to_owned();
-        let control = BlockAction::of(&sql) != BlockAction::None || sql.is_empty();
-        let shape = if control {
-            StatementShape::default()
+        let is_control =
+            ControlStatement::classify(&sql) != ControlStatement::None || sql.is_empty();
+        let description = if is_control {
+            StatementDescription::default()
         } else {
-            self.engine.describe(&sql, &parse.type_oids)?
+            self.connection.describe(&sql, &parse.type_oids)?
         };
         let name = parse.name.unwrap_or_default();
-        self.statements.insert(name, PreparedStatement { sql, shape });
+        self.prepared_statements.insert(name, PreparedStatement { sql, description });
         let message = PgWireBackendMessage::ParseComplete(ParseComplete::new());
         backend::put(&mut self.output, message);
         Ok(())
     }
 
-    fn bind(&mut self, bind: Bind) -> Result<(), StatementRefusal> {
+    fn bind(&mut self, bind: Bind) -> Result<(), ErrorResponse> {
         let name = bind.statement_name.unwrap_or_default();
-        let Some(statement) = self.statements.get(&name) else {
-            return Err(StatementRefusal::new("26000", "prepared statement does not exist"));
+        let Some(statement) = self.prepared_statements.get(&name) else {
+            return Err(ErrorResponse::new("26000", "prepared statement does not exist"));
         };
-        let types = &statement.shape.parameters;
-        let values = decode_values(types, &bind.parameters, &bind.parameter_format_codes)?;
+        let types = &statement.description.parameters;
+        let values = decode_parameters(types, &bind.parameters, &bind.parameter_format_codes)?;
         let portal = PortalState {
             sql: statement.sql.clone(),
-            shape: statement.shape.clone(),
+            description: statement.description.clone(),
             values,
-            formats: bind.result_column_format_codes,
-            pending: None,
-            tag: String::new(),
+            result_formats: bind.result_column_format_codes,
+            pending_rows: None,
+            command_tag: String::new(),
         };
         self.portals.insert(bind.portal_name.unwrap_or_default(), portal);
         let message = PgWireBackendMessage::BindComplete(BindComplete::new());
@@ -110,25 +111,25 @@
         Ok(())
     }
 
-    fn describe(&mut self, describe: &Describe) -> Result<(), StatementRefusal> {
+    fn describe(&mut self, describe: &Describe) -> Result<(), ErrorResponse> {
         let name = describe.name.clone().unwrap_or_default();
         let (columns, formats) = if describe.target_type == b'S' {
-            let Some(statement) = self.statements.get(&name) else {
-                return Err(StatementRefusal::new("26000", "prepared statement does not exist"));
+            let Some(statement) = self.prepared_statements.get(&name) else {
+                return Err(ErrorResponse::new("26000", "prepared statement does not exist"));
             };
-            let types = ParameterDescription::new(statement.shape.parameters.clone());
+            let types = ParameterDescription::new(statement.description.parameters.clone());
             backend::put(&mut self.output, PgWireBackendMessage::ParameterDescription(types));
-            (statement.shape.columns.clone(), Vec::new())
+            (statement.description.columns.clone(), Vec::new())
         } else {
             let Some(portal) = self.portals.get(&name) else {
-                return Err(StatementRefusal::new("34000", "portal does not exist"));
+                return Err(ErrorResponse::new("34000", "portal does not exist"));
             };
-            (portal.shape.columns.clone(), portal.formats.clone())
+            (portal.description.columns.clone(), portal.result_formats.clone())
         };
         if columns.is_empty() {
             backend::put(&mut self.output, PgWireBackendMessage::NoData(NoData::new()));
         } else {
-            self.put_description(&columns, &formats);
+            self.put_row_description(&columns, &formats);
         }
         Ok(())
     }
@@ -136,43 +137,44 @@
     async fn execute(&mut self, execute: &Execute) -> MessageResult {
         let name = execute.name.clone().unwrap_or_default();
         let Some(mut portal) = self.portals.remove(&name) else {
-            return Ok(Err(StatementRefusal::new("34000", "portal does not exist")));
+            return Ok(Err(ErrorResponse::new("34000", "portal does not exist")));
         };
         if portal.sql.is_empty() {
             backend::put_empty_query_response(&mut self.output);
             return Ok(Ok(()));
         }
-        if portal.pending.is_none() {
+        if portal.pending_rows.is_none() {
             self.report_position();
-            let run = self.run_statement(&portal.sql, &portal.values, &portal.formats).await;
-            let (tag, result) = match run {
+            let outcome =
+                self.run_statement(&portal.sql, &portal.values, &portal.result_formats).await;
+            let (tag, result) = match outcome {
                 Ok(done) => done,
-                Err(refusal) => return Ok(Err(refusal)),
+                Err(error) => return Ok(Err(error)),
             };
-            if self.loses_answer() {
+            if self.take_response_loss() {
                 return Err(SessionEnd::Dropped);
             }
-            portal.tag = tag;
-            portal.pending = Some(result.rows.into());
+            portal.command_tag = tag;
+            portal.pending_rows = Some(result.rows.into());
         }
-        self.put_pending(&mut portal, execute.max_rows).await?;
+        self.put_pending_rows(&mut portal, execute.max_rows).await?;
         self.portals.insert(name, portal);
         Ok(Ok(()))
     }
 
-    async fn put_pending(
+    async fn put_pending_rows(
         &mut self,
         portal: &mut PortalState,
         max_rows: i32,
     ) -> Result<(), SessionEnd> {
-        let limit = if max_rows <= 0 { usize::MAX } else { max_rows as usize };
-        let pending = portal.pending.get_or_insert_default();
-        for row in pending.drain(..limit.min(pending.len())).collect::<Vec<_>>() {
-            self.put_row(row);
+        let row_limit = if max_rows <= 0 { usize::MAX } else { max_rows as usize };
+        let pending = portal.pending_rows.get_or_insert_default();
+        for row in pending.drain(..row_limit.min(pending.len())).collect::<Vec<_>>() {
+            self.put_data_row(row);
             self.flush_if_large().await?;
         }
         if pending.is_empty() {
-            backend::put_command_complete(&mut self.output, &portal.tag);
+            backend::put_command_complete(&mut self.output, &portal.command_tag);
         } else {
             let message = PgWireBackendMessage::PortalSuspended(PortalSuspended::new());
             backend::put(&mut self.output, message);
@@ -181,15 +183,15 @@
     }
 }
 
-fn decode_values(
+fn decode_parameters(
     types: &[u32],
     values: &[Option<Bytes>],
     formats: &[i16],
-) -> Result<Vec<Value>, StatementRefusal> {
+) -> Result<Vec<Value>, ErrorResponse> {
     if types.len() != values.len() {
         let message =
             format!("bind supplies {} parameters, {} are required", values.len(), types.len());
-        return Err(StatementRefusal::new("08P01", message));
+        return Err(ErrorResponse::new("08P01", message));
     }
     let mut decoded = Vec::with_capacity(values.len());
     for (index, (value, oid)) in values.iter().zip(types).enumerate() {
@@ -197,9 +199,9 @@
             decoded.push(Value::Null);
             continue;
         };
-        let format = ValueFormat::pick(formats, index);
-        let value = value::decode(bytes, *oid, format).ok_or_else(|| {
-            StatementRefusal::new("22P03", format!("parameter {} does not fit", index + 1))
+        let format = ValueFormat::at_index(formats, index);
+        let value = value::decode_parameter(bytes, *oid, format).ok_or_else(|| {
+            ErrorResponse::new("22P03", format!("parameter {} does not fit", index + 1))
         })?;
         decoded.push(value);
     }
--- a/crates/standin/src/session/simple.rs
+++ b/crates/standin/src/session/simple.rs
@@ -12,40 +12,40 @@
 use wire::backend::{self, TransactionState};
 use wire::group::{GroupCommand, NOT_PRIMARY};
 
-use super::transaction::ConfirmEnd;
-use super::{MemberSession, SessionEnd, StatementRefusal};
+use super::transaction::ConfirmError;
+use super::{ErrorResponse, MemberSession, SessionEnd};
 use crate::member::LoggedStatement;
-use crate::sqlite::{ResultColumn, StatementResult, type_size};
+use crate::sqlite::{ResultColumn, StatementResult, fixed_type_size};
 use crate::value::{ValueFormat, oid};
 
 /// What a statement text does to the transaction block.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum BlockAction {
+pub(crate) enum ControlStatement {
     /// Opens a block.
     Begin,
     /// Opens a block that only reads.
-    BeginRead,
+    BeginReadOnly,
     /// Commits the block.
     Commit,
     /// Rolls the block back.
     Rollback,
     /// Sets, shows or resets a parameter.
-    Parameter,
+    SessionParameter,
     /// Does something else.
     None,
 }
 
-impl BlockAction {
-    pub(crate) fn of(sql: &str) -> Self {
+impl ControlStatement {
+    pub(crate) fn classify(sql: &str) -> Self {
         let upper = sql.trim().trim_end_matches(';').to_ascii_uppercase();
         let mut words = upper.split_whitespace();
         match (words.next(), words.next()) {
-            (Some("BEGIN" | "START"), _) if upper.contains("READ ONLY") => Self::BeginRead,
+            (Some("BEGIN" | "START"), _) if upper.contains("READ ONLY") => Self::BeginReadOnly,
             (Some("BEGIN" | "START"), _) => Self::Begin,
             (Some("COMMIT" | "END"), _) => Self::Commit,
             (Some("ROLLBACK"), Some("TO")) => Self::None,
             (Some("ROLLBACK" | "ABORT"), _) => Self::Rollback,
-            (Some("SET" | "SHOW" | "RESET" | "DISCARD"), _) => Self::Parameter,
+            (Some("SET" | "SHOW" | "RESET" | "DISCARD"), _) => Self::SessionParameter,
             _ => Self::None,
         }
     }
@@ -55,60 +55,61 @@
     /// Runs the statements of one simple query message.
     pub(crate) async fn simple_query(&mut self, text: &str) -> Result<(), SessionEnd> {
         if let Some(command) = GroupCommand::parse(text) {
-            return self.group_command(command).await;
+            return self.handle_group_command(command).await;
         }
         self.report_position();
         let statements = split_statements(text);
         if statements.is_empty() {
             backend::put_empty_query_response(&mut self.output);
         }
-        let implicit = statements.len() > 1 && self.state == TransactionState::Idle;
-        let run = self.run_statements(&statements, implicit).await?;
-        if let Err(refusal) = run {
-            self.refuse(&refusal);
-            if implicit || self.state == TransactionState::Idle {
-                self.abandon();
+        let is_implicit = statements.len() > 1 && self.transaction_state == TransactionState::Idle;
+        let outcome = self.run_statements(&statements, is_implicit).await?;
+        if let Err(error) = outcome {
+            self.fail_statement(&error);
+            if is_implicit || self.transaction_state == TransactionState::Idle {
+                self.roll_back();
             }
         }
-        self.put_ready();
+        self.put_ready_for_query();
         Ok(())
     }
 
     async fn run_statements(
         &mut self,
         statements: &[String],
-        implicit: bool,
-    ) -> Result<Result<(), StatementRefusal>, SessionEnd> {
-        let mut opened = false;
+        is_implicit: bool,
+    ) -> Result<Result<(), ErrorResponse>, SessionEnd> {
+        let mut in_implicit_transaction = false;
         for sql in statements {
-            let action = BlockAction::of(sql);
-            if implicit && !opened && action == BlockAction::None {
-                if let Err(refusal) = self.begin(true).await {
-                    return Ok(Err(refusal));
+            let control = ControlStatement::classify(sql);
+            if is_implicit && !in_implicit_transaction && control == ControlStatement::None {
+                if let Err(error) = self.begin(true).await {
+                    return Ok(Err(error));
                 }
-                opened = true;
+                in_implicit_transaction = true;
             }
-            let run = if opened && action == BlockAction::None {
-                self.run_in_block(sql, &[], &[]).await
+            let outcome = if in_implicit_transaction && control == ControlStatement::None {
+                self.execute_statement(sql, &[], &[]).await
             } else {
-                opened = opened && action == BlockAction::Parameter;
+                in_implicit_transaction =
+                    in_implicit_transaction && control == ControlStatement::SessionParameter;
                 self.run_statement(sql, &[], &[]).await
             };
-            let (tag, result) = match run {
+            let (tag, result) = match outcome {
                 Ok(done) => done,
-                Err(refusal) => return Ok(Err(refusal)),
+                Err(error) => return Ok(Err(error)),
             };
-            if self.loses_answer() {
+            if self.take_response_loss() {
                 return Err(SessionEnd::Dropped);
             }
             self.put_result(&result, &[]).await?;
             backend::put_command_complete(&mut self.output, &tag);
         }
-        if opened {
-            if let Err(refusal) = self.commit().await {
-                return Ok(Err(refusal));
+        if in_implicit_transaction {
+            if let Err(error) = self.commit().await {
+                return Ok(Err(error));
             }
-            if self.loses_answer() {
+            if self.take_response_loss() {
                 return Err(SessionEnd::Dropped);
             }
         }
@@ -121,100 +122,99 @@
         sql: &str,
         parameters: &[Value],
         formats: &[i16],
-    ) -> Result<(String, StatementResult), StatementRefusal> {
-        let action = BlockAction::of(sql);
-        if self.state == TransactionState::Failed
-            && !matches!(action, BlockAction::Commit | BlockAction::Rollback)
+    ) -> Result<(String, StatementResult), ErrorResponse> {
+        let control = ControlStatement::classify(sql);
+        if self.transaction_state == TransactionState::Failed
+            && !matches!(control, ControlStatement::Commit | ControlStatement::Rollback)
         {
-            return Err(StatementRefusal::new(
+            return Err(ErrorResponse::new(
                 "25P02",
                 "current transaction is aborted, commands ignored until end of transaction block",
             ));
         }
         let done = |tag: &str| Ok((tag.to_owned(), StatementResult::default()));
-        match action {
-            BlockAction::Begin | BlockAction::BeginRead => {
-                if self.state == TransactionState::Idle {
-                    self.begin(action == BlockAction::Begin).await?;
-                    self.state = TransactionState::Open;
+        match control {
+            ControlStatement::Begin | ControlStatement::BeginReadOnly => {
+                if self.transaction_state == TransactionState::Idle {
+                    self.begin(control == ControlStatement::Begin).await?;
+                    self.transaction_state = TransactionState::Open;
                 }
                 done("BEGIN")
             }
-            BlockAction::Commit if self.state == TransactionState::Failed => {
-                self.abandon();
+            ControlStatement::Commit if self.transaction_state == TransactionState::Failed => {
+                self.roll_back();
                 done("ROLLBACK")
             }
-            BlockAction::Commit if self.state == TransactionState::Open => {
-                self.state = TransactionState::Idle;
+            ControlStatement::Commit if self.transaction_state == TransactionState::Open => {
+                self.transaction_state = TransactionState::Idle;
                 self.commit().await?;
                 done("COMMIT")
             }
-            BlockAction::Commit => done("COMMIT"),
-            BlockAction::Rollback => {
-                self.abandon();
+            ControlStatement::Commit => done("COMMIT"),
+            ControlStatement::Rollback => {
+                self.roll_back();
                 done("ROLLBACK")
             }
-            BlockAction::Parameter => Ok(parameter_answer(sql)),
-            BlockAction::None if self.state == TransactionState::Open => {
-                self.run_in_block(sql, parameters, formats).await
+            ControlStatement::SessionParameter => Ok(session_parameter_response(sql)),
+            ControlStatement::None if self.transaction_state == TransactionState::Open => {
+                self.execute_statement(sql, parameters, formats).await
             }
-            BlockAction::None => self.run_alone(sql, parameters, formats).await,
+            ControlStatement::None => self.run_autocommit(sql, parameters, formats).await,
         }
     }
 
-    async fn run_alone(
+    async fn run_autocommit(
         &mut self,
         sql: &str,
         parameters: &[Value],
         formats: &[i16],
-    ) -> Result<(String, StatementResult), StatementRefusal> {
-        self.refresh_engine()?;
-        if is_sleep(sql) || self.engine.is_readonly(sql)? {
-            return self.run_in_block(sql, parameters, formats).await;
+    ) -> Result<(String, StatementResult), ErrorResponse> {
+        self.refresh_connection()?;
+        if is_sleep(sql) || self.connection.is_readonly(sql)? {
+            return self.execute_statement(sql, parameters, formats).await;
         }
         self.begin(true).await?;
-        let run = self.run_in_block(sql, parameters, formats).await;
-        if run.is_err() {
-            self.abandon();
-            return run;
+        let outcome = self.execute_statement(sql, parameters, formats).await;
+        if outcome.is_err() {
+            self.roll_back();
+            return outcome;
         }
         self.commit().await?;
-        run
+        outcome
     }
 
-    async fn run_in_block(
+    async fn execute_statement(
         &mut self,
         sql: &str,
         parameters: &[Value],
         formats: &[i16],
-    ) -> Result<(String, StatementResult), StatementRefusal> {
-        self.refresh_engine()?;
+    ) -> Result<(String, StatementResult), ErrorResponse> {
+        self.refresh_connection()?;
         let fault = self.member.fault();
-        let mut service = Duration::from_millis(fault.slow_ms)
+        let mut service_time = Duration::from_millis(fault.slow_ms)
             + Duration::from_micros(self.settings.statement_us);
         let member = self.member.clone();
-        let cancelled =
-            || StatementRefusal::new("57014", "canceling statement due to user request");
-        let _slot = tokio::select! {
-            slot = member.slots.acquire() => slot.expect("slots are never closed"),
+        let cancelled = || ErrorResponse::new("57014", "canceling statement due to user request");
+        let _permit = tokio::select! {
+            permit = member.statement_slots.acquire() => permit.expect("slots are never closed"),
             () = self.cancel.notified() => return Err(cancelled()),
         };
-        member.statements.fetch_add(1, Ordering::Relaxed);
+        member.executed_statements.fetch_add(1, Ordering::Relaxed);
         let sleep_time = sleep_argument(sql);
-        service += sleep_time.unwrap_or_default();
-        if !service.is_zero() {
+        service_time += sleep_time.unwrap_or_default();
+        if !service_time.is_zero() {
             tokio::select! {
-                () = sleep(service) => {}
+                () = sleep(service_time) => {}
                 () = self.cancel.notified() => return Err(cancelled()),
             }
         }
         if sleep_time.is_some() {
             return Ok(("SELECT 1".to_owned(), StatementResult::default()));
         }
-        let result = self.engine.run(sql, parameters, formats)?;
-        if !self.engine.is_readonly(sql)? {
+        let result = self.connection.run(sql, parameters, formats)?;
+        if !self.connection.is_readonly(sql)? {
             let parameters = parameters.to_vec();
-            self.logged.push(LoggedStatement { sql: sql.to_owned(), parameters });
+            self.logged_statements.push(LoggedStatement { sql: sql.to_owned(), parameters });
         }
         Ok((command_tag(sql, &result), result))
     }
@@ -228,89 +228,86 @@
         if result.columns.is_empty() {
             return Ok(());
         }
-        self.put_description(&result.columns, formats);
+        self.put_row_description(&result.columns, formats);
         for row in &result.rows {
-            self.put_row(row.clone());
+            self.put_data_row(row.clone());
             self.flush_if_large().await?;
         }
         Ok(())
     }
 
-    pub(crate) fn put_description(&mut self, columns: &[ResultColumn], formats: &[i16]) {
+    pub(crate) fn put_row_description(&mut self, columns: &[ResultColumn], formats: &[i16]) {
         let fields = columns.iter().enumerate().map(|(index, column)| {
-            let format = i16::from(ValueFormat::pick(formats, index) == ValueFormat::Binary);
-            let size = type_size(column.oid);
+            let format = i16::from(ValueFormat::at_index(formats, index) == ValueFormat::Binary);
+            let size = fixed_type_size(column.oid);
             FieldDescription::new(column.name.clone(), 0, 0, column.oid, size, -1, format)
         });
         let description = RowDescription::new(fields.collect());
         backend::put(&mut self.output, PgWireBackendMessage::RowDescription(description));
     }
 
-    pub(crate) fn put_row(&mut self, mut body: bytes::BytesMut) {
+    pub(crate) fn put_data_row(&mut self, mut body: bytes::BytesMut) {
         let data = body.split_off(2);
         let count = i16::from_be_bytes([body[0], body[1]]);
         backend::put(&mut self.output, PgWireBackendMessage::DataRow(DataRow::new(data, count)));
     }
 
-    async fn group_command(&mut self, command: GroupCommand) -> Result<(), SessionEnd> {
-        let answer = self.run_group_command(command).await;
-        match answer {
+    async fn handle_group_command(&mut self, command: GroupCommand) -> Result<(), SessionEnd> {
+        let response = self.run_group_command(command).await;
+        match response {
             Ok(text) => {
                 let columns = [ResultColumn { name: "status".to_owned(), oid: oid::TEXT }];
-                self.put_description(&columns, &[]);
+                self.put_row_description(&columns, &[]);
                 let mut body = bytes::BytesMut::from(&[0, 1][..]);
                 body.extend_from_slice(&(text.len() as i32).to_be_bytes());
                 body.extend_from_slice(text.as_bytes());
-                self.put_row(body);
+                self.put_data_row(body);
                 backend::put_command_complete(&mut self.output, "CALL");
             }
-            Err(refusal) => {
-                backend::put_error(&mut self.output, refusal.sqlstate, &refusal.message);
+            Err(error) => {
+                backend::put_error(&mut self.output, error.sqlstate, &error.message);
             }
         }
-        self.put_ready();
+        self.put_ready_for_query();
         Ok(())
     }
 
-    async fn run_group_command(
-        &mut self,
-        command: GroupCommand,
-    ) -> Result<String, StatementRefusal> {
+    async fn run_group_command(&mut self, command: GroupCommand) -> Result<String, ErrorResponse> {
         let member = self.member.clone();
         match command {
             GroupCommand::Status => Ok(member.replication.lock().status().to_string()),
-            GroupCommand::Fence(term) => Ok(member.update(|core| core.fence(term))?.to_string()),
+            GroupCommand::Fence(term) => Ok(member.update(|state| state.fence(term))?.to_string()),
             GroupCommand::Promote(term) => {
-                Ok(member.update(|core| core.promote(term))?.to_string())
+                Ok(member.update(|state| state.promote(term))?.to_string())
             }
             GroupCommand::Follow { term, primary } => {
-                Ok(member.update(|core| core.follow(term, &primary))?.to_string())
+                Ok(member.update(|state| state.follow(term, &primary))?.to_string())
             }
             GroupCommand::Label(label) => {
                 self.label = Some(label);
                 Ok("labelled".to_owned())
             }
-            GroupCommand::Outcome(label) => self.outcome(&label).await,
+            GroupCommand::Outcome(label) => self.resolve_outcome(&label).await,
             GroupCommand::Confirm => match self.confirm().await {
                 Ok(()) => Ok("confirmed".to_owned()),
-                Err(ConfirmEnd::Replaced) => {
-                    Err(StatementRefusal::new(NOT_PRIMARY, "the primary was replaced"))
+                Err(ConfirmError::NotPrimary) => {
+                    Err(ErrorResponse::new(NOT_PRIMARY, "the primary was replaced"))
                 }
-                Err(ConfirmEnd::Cancelled) => {
-                    Err(StatementRefusal::new("57014", "canceling statement due to user request"))
+                Err(ConfirmError::Cancelled) => {
+                    Err(ErrorResponse::new("57014", "canceling statement due to user request"))
                 }
             },
         }
     }
 
     /// Tells whether a labelled transaction is in the log, once a majority vouches for the term.
-    async fn outcome(&mut self, label: &str) -> Result<String, StatementRefusal> {
-        let found = self.member.replication.lock().settle(label);
-        self.unconfirmed = found;
+    async fn resolve_outcome(&mut self, label: &str) -> Result<String, ErrorResponse> {
+        let index = self.member.replication.lock().resolve_outcome(label);
+        self.unconfirmed_index = index;
         if self.confirm().await.is_err() {
-            return Err(StatementRefusal::new(NOT_PRIMARY, "the primary was replaced"));
+            return Err(ErrorResponse::new(NOT_PRIMARY, "the primary was replaced"));
         }
-        Ok(found.map_or_else(|| "absent".to_owned(), |index| format!("committed {index}")))
+        Ok(index.map_or_else(|| "absent".to_owned(), |index| format!("committed {index}")))
     }
 }
 
@@ -328,7 +325,7 @@
     }
 }
 
-fn parameter_answer(sql: &str) -> (String, StatementResult) {
+fn session_parameter_response(sql: &str) -> (String, StatementResult) {
     let word = sql.split_whitespace().next().unwrap_or_default().to_ascii_uppercase();
     (word, StatementResult::default())
 }
@@ -349,8 +346,8 @@
     let word = words.next().unwrap_or_default();
     match word.as_str() {
         "SELECT" | "WITH" | "VALUES" => format!("SELECT {}", result.rows.len()),
-        "INSERT" => format!("INSERT 0 {}", result.changed),
-        "UPDATE" | "DELETE" => format!("{word} {}", result.changed),
+        "INSERT" => format!("INSERT 0 {}", result.affected_rows),
+        "UPDATE" | "DELETE" => format!("{word} {}", result.affected_rows),
         "CREATE" | "DROP" | "ALTER" => format!("{word} {}", words.next().unwrap_or_default()),
         _ => word,
     }
--- a/crates/standin/src/session/transaction.rs
+++ b/crates/standin/src/session/transaction.rs
@@ -4,41 +4,41 @@
 use wire::backend::TransactionState;
 use wire::group::NOT_PRIMARY;
 
-use super::{MemberSession, StatementRefusal};
+use super::{ErrorResponse, MemberSession};
 use crate::member::{LogEntry, MemberError};
 use crate::sqlite::SqliteError;
 
 /// Interval at which a locked database is tried again.
-const BUSY_INTERVAL: Duration = Duration::from_millis(1);
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(1);
 /// Attempts at a locked database before the transaction fails.
-const BUSY_ATTEMPTS: u32 = 2_000;
+const MAX_BUSY_ATTEMPTS: u32 = 2_000;
 
 /// How a confirmation failed.
-pub(crate) enum ConfirmEnd {
+pub(crate) enum ConfirmError {
     /// The member lost the primary role before a majority held the position.
-    Replaced,
+    NotPrimary,
     /// The caller cancelled.
     Cancelled,
 }
 
 impl MemberSession {
     /// Opens a transaction in the engine; a writing one waits for the member's write lock.
-    pub(crate) async fn begin(&mut self, writes: bool) -> Result<(), StatementRefusal> {
-        self.refresh_engine()?;
-        if !writes {
-            return Ok(self.engine.control("BEGIN")?);
+    pub(crate) async fn begin(&mut self, is_write: bool) -> Result<(), ErrorResponse> {
+        self.refresh_connection()?;
+        if !is_write {
+            return Ok(self.connection.control_transaction("BEGIN")?);
         }
         if !self.member.replication.lock().is_primary() {
-            return Err(StatementRefusal::new(NOT_PRIMARY, "this member is not the primary"));
+            return Err(ErrorResponse::new(NOT_PRIMARY, "this member is not the primary"));
         }
-        let writer = self.member.writer.clone().lock_owned().await;
-        self.refresh_engine()?;
-        for _ in 0..BUSY_ATTEMPTS {
-            match self.engine.control("BEGIN IMMEDIATE") {
-                Err(SqliteError::Busy) => tokio::time::sleep(BUSY_INTERVAL).await,
+        let write_guard = self.member.write_lock.clone().lock_owned().await;
+        self.refresh_connection()?;
+        for _ in 0..MAX_BUSY_ATTEMPTS {
+            match self.connection.control_transaction("BEGIN IMMEDIATE") {
+                Err(SqliteError::Busy) => tokio::time::sleep(BUSY_RETRY_DELAY).await,
                 Err(error) => return Err(error.into()),
                 Ok(()) => {
-                    self.writer = Some(writer);
+                    self.write_guard = Some(write_guard);
                     return Ok(());
                 }
             }
@@ -47,90 +47,90 @@
     }
 
     /// Commits the open transaction and appends it to the log if it wrote.
-    pub(crate) async fn commit(&mut self) -> Result<(), StatementRefusal> {
+    pub(crate) async fn commit(&mut self) -> Result<(), ErrorResponse> {
         if self.is_outdated() {
-            self.abandon();
-            return Err(StatementRefusal::new(NOT_PRIMARY, "the primary was replaced"));
+            self.roll_back();
+            return Err(ErrorResponse::new(NOT_PRIMARY, "the primary was replaced"));
         }
-        let statements = std::mem::take(&mut self.logged);
+        let statements = std::mem::take(&mut self.logged_statements);
         let label = self.label.take();
         if statements.is_empty() {
-            self.writer = None;
-            return Ok(self.engine.control("COMMIT")?);
+            self.write_guard = None;
+            return Ok(self.connection.control_transaction("COMMIT")?);
         }
         let entry = LogEntry { term: 0, label, statements };
-        for _ in 0..BUSY_ATTEMPTS {
-            let engine = &self.engine;
-            match self.member.update(|core| core.commit(engine, entry.clone())) {
+        for _ in 0..MAX_BUSY_ATTEMPTS {
+            let connection = &self.connection;
+            match self.member.update(|state| state.commit(connection, entry.clone())) {
                 Err(MemberError::Sqlite { source: SqliteError::Busy }) => {
-                    tokio::time::sleep(BUSY_INTERVAL).await;
+                    tokio::time::sleep(BUSY_RETRY_DELAY).await;
                 }
                 Err(error) => {
-                    self.abandon();
+                    self.roll_back();
                     return Err(error.into());
                 }
                 Ok(index) => {
-                    self.writer = None;
-                    self.unconfirmed = Some(index);
-                    self.committed = true;
+                    self.write_guard = None;
+                    self.unconfirmed_index = Some(index);
+                    self.has_unanswered_commit = true;
                     return Ok(());
                 }
             }
         }
-        self.abandon();
+        self.roll_back();
         Err(SqliteError::Busy.into())
     }
 
     /// Rolls back whatever is open.
-    pub(crate) fn abandon(&mut self) {
-        let _ = self.engine.control("ROLLBACK");
-        self.writer = None;
-        self.logged.clear();
+    pub(crate) fn roll_back(&mut self) {
+        let _ = self.connection.control_transaction("ROLLBACK");
+        self.write_guard = None;
+        self.logged_statements.clear();
         self.label = None;
-        self.state = TransactionState::Idle;
+        self.transaction_state = TransactionState::Idle;
     }
 
     /// Waits until a majority holds what this session committed, in the term of this primary.
     ///
     /// A session that committed nothing waits for a round of batches sent after the call, which
     /// proves that no other primary was promoted before it.
-    pub(crate) async fn confirm(&mut self) -> Result<(), ConfirmEnd> {
-        let committed = self.unconfirmed.take();
+    pub(crate) async fn confirm(&mut self) -> Result<(), ConfirmError> {
+        let committed_index = self.unconfirmed_index.take();
         let mut changes = self.member.changed.subscribe();
-        let (target, since) = self.member.update(|core| match committed {
+        let (target, sent_since) = self.member.update(|state| match committed_index {
             Some(index) => (index, None),
-            None => (core.last_index(), Some(core.request_barrier())),
+            None => (state.last_index(), Some(state.request_confirmation())),
         });
         loop {
             {
-                let core = self.member.replication.lock();
-                if !core.is_primary() || core.generation != self.generation {
-                    return Err(ConfirmEnd::Replaced);
+                let state = self.member.replication.lock();
+                if !state.is_primary() || state.generation != self.generation {
+                    return Err(ConfirmError::NotPrimary);
                 }
-                if core.is_confirmed(target, self.group_size, since) {
+                if state.has_quorum(target, self.group_size, sent_since) {
                     return Ok(());
                 }
             }
             tokio::select! {
                 changed = changes.changed() => {
                     if changed.is_err() {
-                        return Err(ConfirmEnd::Replaced);
+                        return Err(ConfirmError::NotPrimary);
                     }
                 }
-                () = self.cancel.notified() => return Err(ConfirmEnd::Cancelled),
+                () = self.cancel.notified() => return Err(ConfirmError::Cancelled),
             }
         }
     }
 
     /// Tells whether the answer to a commit just made is to be lost with the connection.
-    pub(crate) fn loses_answer(&mut self) -> bool {
-        if !std::mem::take(&mut self.committed) {
+    pub(crate) fn take_response_loss(&mut self) -> bool {
+        if !std::mem::take(&mut self.has_unanswered_commit) {
             return false;
         }
-        self.member.update(|core| {
-            let armed = core.fault.lose_answers > 0;
-            core.fault.lose_answers = core.fault.lose_answers.saturating_sub(1);
-            armed
+        self.member.update(|state| {
+            let is_lost = state.fault.lose_answers > 0;
+            state.fault.lose_answers = state.fault.lose_answers.saturating_sub(1);
+            is_lost
         })
     }
 }
--- a/crates/standin/src/sqlite.rs
+++ b/crates/standin/src/sqlite.rs
@@ -9,13 +9,13 @@
 use tempfile::TempDir;
 
 use crate::type_inference;
-use crate::value::{self, ValueFormat, oid, oid_of_declaration};
+use crate::value::{self, ValueFormat, oid, oid_from_declared_type};
 
 /// Prepared statements that each connection keeps.
-const STATEMENT_CACHE: usize = 64;
+const MAX_CACHED_STATEMENTS: usize = 64;
 
 /// File name of a database inside its directory.
-const DATABASE_FILE: &str = "member.db";
+const DATABASE_FILE_NAME: &str = "member.db";
 
 /// Errors of the embedded engine.
 #[derive(Debug, Snafu)]
@@ -71,7 +71,7 @@
 
 /// Shape of a statement before it runs.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct StatementShape {
+pub struct StatementDescription {
     /// Types of the parameters.
     pub parameters: Vec<u32>,
     /// Columns of the result, empty if the statement returns none.
@@ -88,7 +88,7 @@
     /// Column values of each row, encoded.
     pub rows: Vec<BytesMut>,
     /// Rows changed by a write.
-    pub changed: usize,
+    pub affected_rows: usize,
 }
 
 /// Database of one member.
@@ -96,7 +96,7 @@
 pub struct SqliteDatabase {
     path: PathBuf,
     /// Connection that applies the log.
-    applier: Connection,
+    replay_connection: Connection,
     /// Removes the files when the member is dropped.
     _directory: TempDir,
 }
@@ -106,37 +106,37 @@
     pub fn create() -> Result<Self, SqliteError> {
         let directory =
             tempfile::Builder::new().prefix("hibiscus-").tempdir().context(DirectorySnafu)?;
-        let path = directory.path().join(DATABASE_FILE);
-        let applier = open(&path)?;
+        let path = directory.path().join(DATABASE_FILE_NAME);
+        let replay_connection = open_connection(&path)?;
         // Readers must not block the writer, and nothing here has to survive a crash.
-        applier.execute_batch("PRAGMA journal_mode=WAL; PRAGMA synchronous=OFF;")?;
-        Ok(Self { path, applier, _directory: directory })
+        replay_connection.execute_batch("PRAGMA journal_mode=WAL; PRAGMA synchronous=OFF;")?;
+        Ok(Self { path, replay_connection, _directory: directory })
     }
 
     /// Opens one more connection to the database.
     pub fn connect(&self) -> Result<SqliteConnection, SqliteError> {
-        let connection = open(&self.path)?;
+        let connection = open_connection(&self.path)?;
         connection.execute_batch("PRAGMA synchronous=OFF;")?;
         Ok(SqliteConnection { connection })
     }
 
     /// Runs one logged statement outside any session.
     pub fn replay(&self, sql: &str, parameters: &[Value]) -> Result<(), SqliteError> {
-        execute(&self.applier, sql, parameters)
+        run_to_completion(&self.replay_connection, sql, parameters)
     }
 
     /// Runs a transaction control statement on the connection that applies the log.
-    pub fn control(&self, sql: &str) -> Result<(), SqliteError> {
-        Ok(self.applier.execute_batch(sql)?)
+    pub fn control_transaction(&self, sql: &str) -> Result<(), SqliteError> {
+        Ok(self.replay_connection.execute_batch(sql)?)
     }
 }
 
-fn open(path: &Path) -> Result<Connection, SqliteError> {
+fn open_connection(path: &Path) -> Result<Connection, SqliteError> {
     let flags = OpenFlags::SQLITE_OPEN_READ_WRITE
         | OpenFlags::SQLITE_OPEN_CREATE
         | OpenFlags::SQLITE_OPEN_NO_MUTEX;
     let connection = Connection::open_with_flags(path, flags).context(OpenSnafu)?;
-    connection.set_prepared_statement_cache_capacity(STATEMENT_CACHE);
+    connection.set_prepared_statement_cache_capacity(MAX_CACHED_STATEMENTS);
     Ok(connection)
 }
 
@@ -148,23 +148,30 @@
 
 impl SqliteConnection {
     /// Runs a transaction control statement.
-    pub fn control(&self, sql: &str) -> Result<(), SqliteError> {
+    pub fn control_transaction(&self, sql: &str) -> Result<(), SqliteError> {
         Ok(self.connection.execute_batch(sql)?)
     }
 
     /// Describes a statement without running it.
-    pub fn describe(&self, sql: &str, declared: &[u32]) -> Result<StatementShape, SqliteError> {
+    pub fn describe(
+        &self,
+        sql: &str,
+        declared: &[u32],
+    ) -> Result<StatementDescription, SqliteError> {
         let statement = self.connection.prepare_cached(sql)?;
-        let mut parameters =
-            type_inference::parameter_types(&self.connection, sql, statement.parameter_count());
+        let mut parameters = type_inference::infer_parameter_types(
+            &self.connection,
+            sql,
+            statement.parameter_count(),
+        );
         for (slot, declared) in parameters.iter_mut().zip(declared) {
             if *declared != 0 {
                 *slot = *declared;
             }
         }
-        Ok(StatementShape {
+        Ok(StatementDescription {
             parameters,
-            columns: columns_of(&statement),
+            columns: result_columns(&statement),
             readonly: statement.readonly(),
         })
     }
@@ -182,62 +189,69 @@
         formats: &[i16],
     ) -> Result<StatementResult, SqliteError> {
         let mut statement = self.connection.prepare_cached(sql)?;
-        bind(&mut statement, parameters)?;
-        let columns = columns_of(&statement);
+        bind_parameters(&mut statement, parameters)?;
+        let columns = result_columns(&statement);
         let mut result = StatementResult { columns, ..StatementResult::default() };
         let mut rows = statement.raw_query();
         while let Some(row) = rows.next()? {
             let mut body = BytesMut::with_capacity(32 * result.columns.len());
             body.put_i16(result.columns.len() as i16);
             for (index, column) in result.columns.iter().enumerate() {
-                let format = ValueFormat::pick(formats, index);
-                value::encode(&mut body, row.get_ref(index)?, column.oid, format);
+                let format = ValueFormat::at_index(formats, index);
+                value::encode_column(&mut body, row.get_ref(index)?, column.oid, format);
             }
             result.rows.push(body);
         }
         drop(rows);
         if !statement.readonly() {
-            result.changed = self.connection.changes() as usize;
+            result.affected_rows = self.connection.changes() as usize;
         }
         Ok(result)
     }
 }
 
-fn execute(connection: &Connection, sql: &str, parameters: &[Value]) -> Result<(), SqliteError> {
+fn run_to_completion(
+    connection: &Connection,
+    sql: &str,
+    parameters: &[Value],
+) -> Result<(), SqliteError> {
     let mut statement = connection.prepare_cached(sql)?;
-    bind(&mut statement, parameters)?;
+    bind_parameters(&mut statement, parameters)?;
     let mut rows = statement.raw_query();
     while rows.next()?.is_some() {}
     Ok(())
 }
 
-fn bind(statement: &mut rusqlite::Statement<'_>, values: &[Value]) -> Result<(), SqliteError> {
+fn bind_parameters(
+    statement: &mut rusqlite::Statement<'_>,
+    values: &[Value],
+) -> Result<(), SqliteError> {
     for (index, value) in values.iter().enumerate() {
         // The engine numbers `$1` by first appearance, so the name decides the slot.
-        let named = statement.parameter_index(&format!("${}", index + 1))?;
-        if let Some(slot) = named {
+        let slot = statement.parameter_index(&format!("${}", index + 1))?;
+        if let Some(slot) = slot {
             statement.raw_bind_parameter(slot, value)?;
         }
     }
     Ok(())
 }
 
-fn columns_of(statement: &rusqlite::Statement<'_>) -> Vec<ResultColumn> {
+fn result_columns(statement: &rusqlite::Statement<'_>) -> Vec<ResultColumn> {
     let columns = statement.columns();
     columns
         .iter()
         .map(|column| {
             let oid = match column.decl_type() {
-                Some(declaration) => oid_of_declaration(declaration),
-                None => type_inference::expression_type(column.name()),
+                Some(declared) => oid_from_declared_type(declared),
+                None => type_inference::infer_expression_type(column.name()),
             };
-            ResultColumn { name: short_name(column.name()), oid }
+            ResultColumn { name: postgres_column_name(column.name()), oid }
         })
         .collect()
 }
 
 /// Shortens the engine's name of a computed column to PostgreSQL's form.
-fn short_name(name: &str) -> String {
+fn postgres_column_name(name: &str) -> String {
     match name.split_once('(') {
         Some((function, _)) if !function.is_empty() => function.to_lowercase(),
         _ if name.parse::<f64>().is_ok() => "?column?".to_owned(),
@@ -246,7 +260,7 @@
 }
 
 /// Returns the fixed size of a type, or -1 if it varies.
-pub fn type_size(type_oid: u32) -> i16 {
+pub fn fixed_type_size(type_oid: u32) -> i16 {
     match type_oid {
         oid::BOOL => 1,
         oid::INT2 => 2,
--- a/crates/standin/src/type_inference.rs
+++ b/crates/standin/src/type_inference.rs
@@ -10,10 +10,10 @@
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::parser::Parser;
 
-use crate::value::{oid, oid_of_declaration};
+use crate::value::{oid, oid_from_declared_type};
 
 /// Infers the type of every parameter of `sql`; unknown ones count as text.
-pub fn parameter_types(connection: &Connection, sql: &str, count: usize) -> Vec<u32> {
+pub fn infer_parameter_types(connection: &Connection, sql: &str, count: usize) -> Vec<u32> {
     let mut types = vec![oid::TEXT; count];
     if count == 0 {
         return types;
@@ -21,21 +21,21 @@
     let Ok(statements) = Parser::parse_sql(&PostgreSqlDialect {}, sql) else {
         return types;
     };
-    let mut scan = ParameterScan::default();
-    let _ = statements.visit(&mut scan);
-    let columns = column_types(connection, &scan.tables);
-    let find = |column: &ColumnUse| match column {
-        ColumnUse::Named(name) => columns.iter().find(|column| column.name == *name),
-        ColumnUse::Numbered(index) => columns.get(*index),
+    let mut visitor = ParameterVisitor::default();
+    let _ = statements.visit(&mut visitor);
+    let columns = table_columns(connection, &visitor.tables);
+    let find = |column: &ColumnReference| match column {
+        ColumnReference::Name(name) => columns.iter().find(|column| column.name == *name),
+        ColumnReference::Position(index) => columns.get(*index),
     };
-    for (parameter, column) in scan.uses {
-        let known = find(&column).map(|column| column.oid);
+    for (parameter, column) in visitor.references {
+        let oid = find(&column).map(|column| column.oid);
         let slot = parameter.checked_sub(1).and_then(|index| types.get_mut(index));
-        if let (Some(known), Some(slot)) = (known, slot) {
-            *slot = known;
+        if let (Some(oid), Some(slot)) = (oid, slot) {
+            *slot = oid;
         }
     }
-    for parameter in scan.limits {
+    for parameter in visitor.limit_parameters {
         if let Some(slot) = parameter.checked_sub(1).and_then(|index| types.get_mut(index)) {
             *slot = oid::INT8;
         }
@@ -44,10 +44,10 @@
 }
 
 /// Guesses the type of a column that has no declaration from its expression.
-pub fn expression_type(expression: &str) -> u32 {
+pub fn infer_expression_type(expression: &str) -> u32 {
     let lower = expression.to_ascii_lowercase();
-    let counts = ["count(", "sum(", "length(", "max(", "min(", "total("];
-    if counts.iter().any(|prefix| lower.starts_with(prefix)) {
+    let integer_functions = ["count(", "sum(", "length(", "max(", "min(", "total("];
+    if integer_functions.iter().any(|prefix| lower.starts_with(prefix)) {
         return oid::INT8;
     }
     if lower.parse::<i64>().is_ok() {
@@ -63,8 +63,8 @@
 }
 
 /// Lists the columns of the tables in order.
-fn column_types(connection: &Connection, tables: &[String]) -> Vec<TableColumn> {
-    let mut types = Vec::new();
+fn table_columns(connection: &Connection, tables: &[String]) -> Vec<TableColumn> {
+    let mut columns = Vec::new();
     for table in tables {
         let Ok(mut statement) = connection.prepare("SELECT name, type FROM pragma_table_info(?)")
         else {
@@ -72,38 +72,38 @@
         };
         let rows = statement
             .query_map([table], |row| Ok((row.get::<_, String>(0)?, row.get::<_, String>(1)?)));
-        for (name, declaration) in rows.into_iter().flatten().flatten() {
-            let oid = oid_of_declaration(&declaration);
-            types.push(TableColumn { name: name.to_lowercase(), oid });
+        for (name, declared) in rows.into_iter().flatten().flatten() {
+            let oid = oid_from_declared_type(&declared);
+            columns.push(TableColumn { name: name.to_lowercase(), oid });
         }
     }
-    types
+    columns
 }
 
 /// Column that a parameter is compared with or stored into.
-enum ColumnUse {
+enum ColumnReference {
     /// Column with this name.
-    Named(String),
+    Name(String),
     /// Column at this place of the first table.
-    Numbered(usize),
+    Position(usize),
 }
 
 /// Collects which column each parameter is compared with or stored into.
 #[derive(Default)]
-struct ParameterScan {
+struct ParameterVisitor {
     tables: Vec<String>,
-    uses: Vec<(usize, ColumnUse)>,
-    limits: Vec<usize>,
+    references: Vec<(usize, ColumnReference)>,
+    limit_parameters: Vec<usize>,
 }
 
-impl ParameterScan {
-    fn relate(&mut self, one: &Expr, other: &Expr) {
-        if let (Some(parameter), Some(column)) = (parameter_of(one), column_of(other)) {
-            self.uses.push((parameter, ColumnUse::Named(column)));
+impl ParameterVisitor {
+    fn record_operands(&mut self, value: &Expr, operand: &Expr) {
+        if let (Some(parameter), Some(column)) = (parameter_number(value), column_name(operand)) {
+            self.references.push((parameter, ColumnReference::Name(column)));
         }
     }
 
-    fn insert(&mut self, insert: &Insert) {
+    fn record_insert(&mut self, insert: &Insert) {
         if let TableObject::TableName(name) = &insert.table {
             self.tables.push(name.to_string().to_lowercase());
         }
@@ -112,20 +112,20 @@
         };
         for row in &values.rows {
             for (index, value) in row.iter().enumerate() {
-                let Some(parameter) = parameter_of(value) else {
+                let Some(parameter) = parameter_number(value) else {
                     continue;
                 };
                 let column = match insert.columns.get(index) {
-                    Some(column) => ColumnUse::Named(column.to_string().to_lowercase()),
-                    None => ColumnUse::Numbered(index),
+                    Some(column) => ColumnReference::Name(column.to_string().to_lowercase()),
+                    None => ColumnReference::Position(index),
                 };
-                self.uses.push((parameter, column));
+                self.references.push((parameter, column));
             }
         }
     }
 }
 
-impl Visitor for ParameterScan {
+impl Visitor for ParameterVisitor {
     type Break = ();
 
     fn pre_visit_relation(&mut self, relation: &ObjectName) -> ControlFlow<()> {
@@ -135,12 +135,12 @@
 
     fn pre_visit_statement(&mut self, statement: &Statement) -> ControlFlow<()> {
         match statement {
-            Statement::Insert(insert) => self.insert(insert),
+            Statement::Insert(insert) => self.record_insert(insert),
             Statement::Update(update) => {
                 for assignment in &update.assignments {
-                    if let Some(parameter) = parameter_of(&assignment.value) {
+                    if let Some(parameter) = parameter_number(&assignment.value) {
                         let column = assignment.target.to_string().to_lowercase();
-                        self.uses.push((parameter, ColumnUse::Named(column)));
+                        self.references.push((parameter, ColumnReference::Name(column)));
                     }
                 }
             }
@@ -153,24 +153,25 @@
         if let Some(sqlparser::ast::LimitClause::LimitOffset { limit, offset, .. }) =
             &query.limit_clause
         {
-            self.limits.extend(limit.as_ref().and_then(parameter_of));
-            self.limits.extend(offset.as_ref().and_then(|offset| parameter_of(&offset.value)));
+            self.limit_parameters.extend(limit.as_ref().and_then(parameter_number));
+            self.limit_parameters
+                .extend(offset.as_ref().and_then(|offset| parameter_number(&offset.value)));
         }
         ControlFlow::Continue(())
     }
 
     fn pre_visit_expr(&mut self, expression: &Expr) -> ControlFlow<()> {
         match expression {
-            Expr::BinaryOp { left, op, right } if relates(op) => {
-                self.relate(left, right);
-                self.relate(right, left);
+            Expr::BinaryOp { left, op, right } if has_same_type_operands(op) => {
+                self.record_operands(left, right);
+                self.record_operands(right, left);
             }
             Expr::Between { expr, low, high, .. } => {
-                self.relate(low, expr);
-                self.relate(high, expr);
+                self.record_operands(low, expr);
+                self.record_operands(high, expr);
             }
             Expr::In { expr, target: InTarget::List(list), .. } => {
-                list.iter().for_each(|item| self.relate(item, expr));
+                list.iter().for_each(|item| self.record_operands(item, expr));
             }
             _ => {}
         }
@@ -178,7 +179,7 @@
     }
 }
 
-fn relates(operator: &BinaryOperator) -> bool {
+fn has_same_type_operands(operator: &BinaryOperator) -> bool {
     matches!(
         operator,
         BinaryOperator::Eq
@@ -192,22 +193,22 @@
     )
 }
 
-fn parameter_of(expression: &Expr) -> Option<usize> {
+fn parameter_number(expression: &Expr) -> Option<usize> {
     match expression {
         Expr::Value(value) => match &value.value {
             Value::Placeholder(name) => name.strip_prefix('$')?.parse().ok(),
             _ => None,
         },
-        Expr::Nested(inner) => parameter_of(inner),
+        Expr::Nested(inner) => parameter_number(inner),
         _ => None,
     }
 }
 
-fn column_of(expression: &Expr) -> Option<String> {
+fn column_name(expression: &Expr) -> Option<String> {
     match expression {
         Expr::Identifier(name) => Some(name.value.to_lowercase()),
         Expr::CompoundIdentifier(names) => Some(names.last()?.value.to_lowercase()),
-        Expr::Nested(inner) => column_of(inner),
+        Expr::Nested(inner) => column_name(inner),
         _ => None,
     }
 }
--- a/crates/standin/src/value.rs
+++ b/crates/standin/src/value.rs
@@ -34,25 +34,25 @@
 
 impl ValueFormat {
     /// Reads a format code.
-    pub fn of_code(code: i16) -> Self {
+    pub fn from_code(code: i16) -> Self {
         if code == 1 { Self::Binary } else { Self::Text }
     }
 
     /// Picks the format of column or parameter `index` by the protocol's rule.
-    pub fn pick(codes: &[i16], index: usize) -> Self {
+    pub fn at_index(codes: &[i16], index: usize) -> Self {
         match codes {
             [] => Self::Text,
-            [only] => Self::of_code(*only),
-            several => Self::of_code(several.get(index).copied().unwrap_or_default()),
+            [code] => Self::from_code(*code),
+            codes => Self::from_code(codes.get(index).copied().unwrap_or_default()),
         }
     }
 }
 
 /// Returns the type that a declared column type stands for.
-pub fn oid_of_declaration(declaration: &str) -> u32 {
-    let lower = declaration.to_ascii_lowercase();
-    let word = lower.split(['(', ' ']).next().unwrap_or_default();
-    match word {
+pub fn oid_from_declared_type(declared: &str) -> u32 {
+    let lower = declared.to_ascii_lowercase();
+    let base_type = lower.split(['(', ' ']).next().unwrap_or_default();
+    match base_type {
         "bigint" | "int8" | "bigserial" => oid::INT8,
         "int" | "integer" | "int4" | "serial" => oid::INT4,
         "smallint" | "int2" => oid::INT2,
@@ -65,7 +65,7 @@
 }
 
 /// Decodes a parameter, or none if its bytes do not fit its type.
-pub fn decode(bytes: &[u8], oid: u32, format: ValueFormat) -> Option<Value> {
+pub fn decode_parameter(bytes: &[u8], oid: u32, format: ValueFormat) -> Option<Value> {
     match format {
         ValueFormat::Text => decode_text(std::str::from_utf8(bytes).ok()?, oid),
         ValueFormat::Binary => decode_binary(bytes, oid),
@@ -95,7 +95,7 @@
 }
 
 /// Writes one column of a data row, length included.
-pub fn encode(buffer: &mut BytesMut, value: ValueRef<'_>, oid: u32, format: ValueFormat) {
+pub fn encode_column(buffer: &mut BytesMut, value: ValueRef<'_>, oid: u32, format: ValueFormat) {
     if value == ValueRef::Null {
         buffer.put_i32(-1);
         return;
