--- a/crates/standin/src/member.rs
+++ b/crates/standin/src/member.rs
@@ -1,4 +1,4 @@
-//! One member of a database group: its log, role and terms.
+//! Member of a database group: its log, role and terms.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -18,26 +18,26 @@
 /// Errors of a member's operations.
 #[derive(Debug, Snafu)]
 pub enum MemberError {
-    /// The member is not the primary, so nothing was committed.
+    /// The member is not the primary or the label was rejected, so nothing was committed.
     #[snafu(display("this member is not the primary"))]
     NotPrimary,
-    /// The term of a group command is not above the highest accepted one.
-    #[snafu(display("term {term} is refused, {promised} was accepted before"))]
+    /// The term of a group command is stale, or the member was not fenced for that term.
+    #[snafu(display("term {term} rejected, the highest accepted term is {promised}"))]
     StaleTerm {
         /// Term of the command.
         term: u64,
         /// Highest accepted term.
         promised: u64,
     },
-    /// The engine refused an operation.
+    /// The database rejected an operation.
     #[snafu(display("{source}"), context(false))]
     Sqlite {
-        /// Cause reported by the engine.
+        /// Error reported by the database.
         source: SqliteError,
     },
 }
 
-/// Statement inside a log entry.
+/// Statement in a log entry.
 #[derive(Clone, Debug)]
 pub struct LoggedStatement {
     /// Statement text.
@@ -51,13 +51,13 @@
 pub struct LogEntry {
     /// Term under which the entry was written.
     pub term: u64,
-    /// Label given by the caller, by which the outcome can be asked for.
+    /// Label chosen by the caller, by which it can resolve the outcome later.
     pub label: Option<String>,
-    /// Statements in the order in which they ran; empty for the first entry of a term.
+    /// Statements in execution order; empty for the first entry of a term.
     pub statements: Vec<LoggedStatement>,
 }
 
-/// Part of the primary's log sent to a replica.
+/// Consecutive log entries that a primary sends to a replica.
 #[derive(Clone, Debug)]
 pub struct LogBatch {
     /// Term of the primary.
@@ -68,29 +68,29 @@
     pub previous_index: u64,
     /// Term of that entry.
     pub previous_term: u64,
-    /// Entries sent, none for a heartbeat.
+    /// Entries to append; empty for a heartbeat.
     pub entries: Vec<Arc<LogEntry>>,
 }
 
-/// Answer of a replica to a batch.
+/// Response of a replica to a batch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BatchResponse {
-    /// The replica holds the primary's log up to this index.
+    /// The replica's log matches the primary's up to this index.
     Matched(u64),
-    /// The logs differ before the batch; the primary sends from this index on.
+    /// The logs differ before the batch; the primary retries with the entries after this index.
     Mismatch(u64),
-    /// The replica follows another term.
+    /// The member does not replicate from this primary in this term.
     NotFollowing,
 }
 
-/// Last acknowledgement of a replica.
+/// Latest acknowledgement of a replica.
 #[derive(Clone, Copy, Debug)]
 struct ReplicaAck {
     match_index: u64,
     sent_at: Instant,
 }
 
-/// State of a member that its operations change together.
+/// Replication state of a member, guarded by a single lock.
 #[derive(Debug)]
 pub struct ReplicationState {
     role: MemberRole,
@@ -107,9 +107,9 @@
     labels: HashMap<String, u64>,
     rejected_labels: HashSet<String>,
     database: SqliteDatabase,
-    /// Counts replacements of the engine and losses of the primary role.
+    /// Counts rebuilds of the database and losses of the primary role.
     pub generation: u64,
-    /// Faults in force.
+    /// Active faults.
     pub fault: MemberFault,
 }
 
@@ -135,12 +135,12 @@
         })
     }
 
-    /// Tells whether the member accepts writes.
+    /// Returns whether the member accepts writes.
     pub fn is_primary(&self) -> bool {
         self.role == MemberRole::Primary
     }
 
-    /// Returns the position that every answer carries.
+    /// Returns the position that the member reports with its responses.
     pub fn position(&self) -> MemberPosition {
         MemberPosition {
             role: self.role,
@@ -165,14 +165,14 @@
         }
     }
 
-    /// Opens a connection to the current engine.
+    /// Opens a connection to the current database.
     pub fn connect(&self) -> Result<SqliteConnection, SqliteError> {
         self.database.connect()
     }
 
-    /// Returns the index at which a labelled transaction stands in the log, or bars the label.
+    /// Returns the log index of a labelled transaction, or rejects the label from now on.
     ///
-    /// A barred label never commits on this member, so the answer stays true.
+    /// A rejected label never commits on this member, so a result of `None` stays valid.
     pub fn resolve_outcome(&mut self, label: &str) -> Option<u64> {
         let index = self.labels.get(label).copied();
         if index.is_none() {
@@ -198,7 +198,7 @@
         Ok(self.applied)
     }
 
-    /// Accepts a fence and stops accepting writes and batches of lower terms.
+    /// Accepts a fence: from now on, rejects writes and batches of lower terms.
     pub fn fence(&mut self, term: u64) -> Result<MemberStatus, MemberError> {
         if term <= self.promised {
             return StaleTermSnafu { term, promised: self.promised }.fail();
@@ -226,7 +226,7 @@
         Ok(self.status())
     }
 
-    /// Follows the primary of a term from now on.
+    /// Replicates from the primary of a term from now on.
     pub fn follow(&mut self, term: u64, primary: &str) -> Result<MemberStatus, MemberError> {
         let accepted_before = term == self.promised && self.role != MemberRole::Primary;
         if term < self.promised || (term == self.promised && !accepted_before) {
@@ -238,7 +238,7 @@
         Ok(self.status())
     }
 
-    /// Takes a batch from the primary called `primary`.
+    /// Appends a batch from the primary named `primary`.
     pub fn append_batch(
         &mut self,
         primary: &str,
@@ -266,7 +266,8 @@
             self.apply_times.push_back(Instant::now() + Duration::from_millis(self.fault.lag_ms));
         }
         let end = batch.previous_index + batch.entries.len() as u64;
-        // The first entry of a term replaces whatever an older primary left in its place.
+        // A term starts with its first entry, which replaces any entry that an older primary left
+        // at that index.
         if self.term != batch.term && end > batch.term_start {
             self.term = batch.term;
             self.term_start = batch.term_start;
@@ -274,7 +275,7 @@
         Ok(BatchResponse::Matched(end))
     }
 
-    /// Returns the batch for a replica that holds `held` entries, or none on a replica.
+    /// Returns the batch after `match_index`, or `None` if the member is not the primary.
     pub fn batch_after(&self, match_index: u64, max_entries: usize) -> Option<LogBatch> {
         if !self.is_primary() {
             return None;
@@ -290,16 +291,19 @@
         })
     }
 
-    /// Records an acknowledgement of the replica `peer`.
+    /// Records an acknowledgement from the replica at index `replica`.
+    ///
+    /// Ignores it if this member is not the primary of `term`.
     pub fn acknowledge(&mut self, replica: usize, term: u64, match_index: u64, sent_at: Instant) {
         if self.role == MemberRole::Primary && self.term == term {
             self.acks.insert(replica, ReplicaAck { match_index, sent_at });
         }
     }
 
-    /// Tells whether a majority of `size` members holds `index` in the term of this primary.
+    /// Returns whether a majority of `group_size` members has replicated `index` in this primary's
+    /// term.
     ///
-    /// With `since`, only acknowledgements of batches sent at or after it count.
+    /// With `sent_since`, only acknowledgements of batches sent at or after it count.
     pub fn has_quorum(&self, index: u64, group_size: usize, sent_since: Option<Instant>) -> bool {
         let target = index.max(self.term_start + 1);
         let acknowledges = |ack: &&ReplicaAck| {
@@ -308,14 +312,16 @@
         1 + self.acks.values().filter(acknowledges).count() > group_size / 2
     }
 
-    /// Asks for batches sent from now on, whose acknowledgements prove that the term goes on.
+    /// Requests a leadership confirmation and returns the time of the request.
+    ///
+    /// Acknowledgements of batches sent after it prove that the term is still current.
     pub fn request_confirmation(&mut self) -> Instant {
         let now = Instant::now();
         self.confirmation_requested_at = Some(now);
         now
     }
 
-    /// Returns when the last barrier was requested.
+    /// Returns when a leadership confirmation was last requested.
     pub fn confirmation_requested_at(&self) -> Option<Instant> {
         self.confirmation_requested_at
     }
@@ -325,7 +331,7 @@
         self.log.len() as u64
     }
 
-    /// Applies entries whose time has come and returns when the next one is due.
+    /// Applies the entries that are due and returns when the next one is.
     pub fn apply_due(&mut self) -> Result<Option<Instant>, MemberError> {
         while let Some(due) = self.apply_times.front().copied() {
             if due > Instant::now() {
@@ -364,7 +370,7 @@
         slot.and_then(|slot| self.log.get(slot)).map_or(0, |entry| entry.term)
     }
 
-    /// Drops entries past `end` and rebuilds the database if some of them were applied.
+    /// Removes entries past `end` and rebuilds the database if any of them was applied.
     fn truncate_log(&mut self, end: u64) -> Result<(), MemberError> {
         if self.log.len() as u64 <= end {
             return Ok(());
@@ -400,30 +406,30 @@
     database.control_transaction("COMMIT")
 }
 
-/// Member of a group as its tasks share it.
+/// Group member that its tasks share.
 #[derive(Debug)]
 pub struct GroupMember {
-    /// Place of the member in its group.
+    /// Index of the member in its group.
     pub index: usize,
     /// Logical name of the member.
     pub name: String,
     /// Availability zone of the member.
     pub zone: String,
-    /// State that operations change together.
+    /// Replication state.
     pub replication: Mutex<ReplicationState>,
-    /// Counts changes of the state, so that tasks can wait for the next one.
+    /// Counts state changes, so that tasks can wait for the next one.
     pub changed: watch::Sender<u64>,
-    /// Statements that may run at once.
+    /// Limits the statements that run concurrently.
     pub statement_slots: Semaphore,
-    /// Serialises writing transactions in the order of their arrival.
+    /// Serializes write transactions in order of arrival.
     pub write_lock: Arc<tokio::sync::Mutex<()>>,
-    /// Open connections of callers.
+    /// Number of open connections, those of the control user excluded.
     pub open_connections: AtomicU32,
-    /// Connections opened before this count have gone silent.
+    /// Number of the last session made unresponsive; all earlier ones are unresponsive too.
     pub unresponsive_up_to: AtomicU64,
-    /// Counts connections opened so far.
+    /// Number of connections opened so far, which numbers the sessions.
     pub total_connections: AtomicU64,
-    /// Counts statements run so far, group commands left out.
+    /// Number of statements executed so far, group commands excluded.
     pub executed_statements: AtomicU64,
 }
 
@@ -445,14 +451,14 @@
         })
     }
 
-    /// Runs an operation on the state and wakes the tasks that wait for a change.
+    /// Runs an operation on the replication state and wakes the tasks that wait for a change.
     pub fn update<T>(&self, operation: impl FnOnce(&mut ReplicationState) -> T) -> T {
         let result = operation(&mut self.replication.lock());
         self.changed.send_modify(|count| *count += 1);
         result
     }
 
-    /// Changes the faults in force.
+    /// Changes the active faults.
     pub fn change_fault(&self, change: &FaultChange) {
         self.update(|state| state.fault.change(change));
         if change.silence {
@@ -462,12 +468,12 @@
         }
     }
 
-    /// Returns the number of statements run so far.
+    /// Returns the number of statements executed so far.
     pub fn executed_statements(&self) -> u64 {
         self.executed_statements.load(Ordering::Relaxed)
     }
 
-    /// Returns the faults in force.
+    /// Returns the active faults.
     pub fn fault(&self) -> MemberFault {
         self.replication.lock().fault.clone()
     }
--- a/crates/standin/src/session.rs
+++ b/crates/standin/src/session.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL sessions of one member.
+//! PostgreSQL sessions of a member.
 
 mod extended;
 mod simple;
@@ -30,25 +30,25 @@
 
 pub(crate) use extended::{PortalState, PreparedStatement};
 
-/// User name whose connections do not count against the connection limit.
+/// User whose connections are exempt from the connection limit and the connection delay.
 pub const CONTROL_USER: &str = "hibiscus-control";
-/// Application name by which a proxy tells its availability zone.
+/// Prefix of the application name by which a proxy reports its availability zone.
 pub const APPLICATION_NAME_PREFIX: &str = "hibiscus/";
-/// Bytes collected before they are written to the socket.
-const WRITE_THRESHOLD: usize = 64 * 1024;
-/// Time after which the locks of a transaction are freed whose caller cannot be reached.
+/// Size of the output buffer at which it is written to the socket.
+const WRITE_THRESHOLD_BYTES: usize = 64 * 1024;
+/// Time after which the transaction of an unresponsive connection is rolled back to free its locks.
 const IDLE_TRANSACTION_TIMEOUT: Duration = Duration::from_secs(1);
-/// Interval at which a paused session looks whether it may go on.
+/// Interval at which a paused session polls for the end of the pause.
 const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a session ends.
+/// Reason why a session ended.
 #[derive(Debug)]
 pub(crate) enum SessionEnd {
-    /// The caller closed the connection or sent something unreadable.
+    /// The caller closed the connection or sent a malformed message.
     Closed,
-    /// The member drops the connection without a word.
+    /// The member closed the connection.
     Dropped,
-    /// The socket failed.
+    /// An operation on the socket failed.
     Socket,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// Refusal of a statement.
+/// Error that is sent to the caller.
 #[derive(Clone, Debug)]
 pub(crate) struct ErrorResponse {
     pub(crate) sqlstate: &'static str,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Cancel requests of one member, by the process number given at startup.
+/// Cancellation signals of a member's sessions, by the process ID that each reported at startup.
 pub(crate) type CancelRegistry = Mutex<HashMap<i32, Arc<Notify>>>;
 
 /// Session of one connection.
@@ -104,14 +104,14 @@
     pub(crate) output: BytesMut,
     pub(crate) connection: SqliteConnection,
     pub(crate) generation: u64,
-    pub(crate) connection_id: u64,
+    pub(crate) session_id: u64,
     pub(crate) round_trip_delay: Duration,
     pub(crate) transaction_state: TransactionState,
     pub(crate) write_guard: Option<tokio::sync::OwnedMutexGuard<()>>,
     pub(crate) logged_statements: Vec<LoggedStatement>,
     pub(crate) label: Option<String>,
     pub(crate) unconfirmed_index: Option<u64>,
-    pub(crate) has_unanswered_commit: bool,
+    pub(crate) has_pending_commit_response: bool,
     pub(crate) reported_position: Option<MemberPosition>,
     pub(crate) prepared_statements: HashMap<String, PreparedStatement>,
     pub(crate) portals: HashMap<String, PortalState>,
@@ -119,7 +119,7 @@
     pub(crate) cancel: Arc<Notify>,
 }
 
-/// Accepts connections for as long as the member lives.
+/// Accepts connections until the task is aborted.
 pub(crate) async fn serve(
     listener: TcpListener,
     member: Arc<GroupMember>,
@@ -149,14 +149,14 @@
             };
             let run = run_connection(socket, member.clone(), settings, group_size, registry);
             tokio::select! {
-                end = run => debug!("session of {} ended: {end:?}", member.name),
-                () = stopped => debug!("session of {} dropped", member.name),
+                end = run => debug!("session of member {} ended: {end:?}", member.name),
+                () = stopped => debug!("member {} stopped, session dropped", member.name),
             }
         });
     }
 }
 
-/// Counts a connection against the limit for as long as it lives.
+/// Counts a connection against the limit until dropped.
 struct ConnectionGuard(Arc<GroupMember>);
 
 impl Drop for ConnectionGuard {
@@ -199,9 +199,9 @@
         let state = member.replication.lock();
         (state.connect().map_err(|_| SessionEnd::Dropped)?, state.generation)
     };
-    let connection_id = member.total_connections.fetch_add(1, Ordering::SeqCst) + 1;
+    let session_id = member.total_connections.fetch_add(1, Ordering::SeqCst) + 1;
     let cancel = Arc::new(Notify::new());
-    registry.lock().insert(connection_id as i32, cancel.clone());
+    registry.lock().insert(session_id as i32, cancel.clone());
     let round_trip_delay = 2 * zone_delay(&settings, &zone, &member.zone);
     let mut session = MemberSession {
         member,
@@ -212,14 +212,14 @@
         output: BytesMut::new(),
         connection,
         generation,
-        connection_id,
+        session_id,
         round_trip_delay,
         transaction_state: TransactionState::Idle,
         write_guard: None,
         logged_statements: Vec::new(),
         label: None,
         unconfirmed_index: None,
-        has_unanswered_commit: false,
+        has_pending_commit_response: false,
         reported_position: None,
         prepared_statements: HashMap::new(),
         portals: HashMap::new(),
@@ -228,12 +228,14 @@
     };
     let end = session.run().await;
     session.roll_back();
-    registry.lock().remove(&(connection_id as i32));
+    registry.lock().remove(&(session_id as i32));
     drop(guard);
     end
 }
 
-/// Reads messages up to the startup; returns none if the connection was for a cancel request.
+/// Reads messages up to the startup message and returns its parameters.
+///
+/// Returns `None` if the connection carried a cancel request.
 async fn read_startup(
     socket: &mut TcpStream,
     input: &mut BytesMut,
@@ -305,16 +307,15 @@
         ] {
             backend::put_parameter_status(&mut self.output, name, value);
         }
-        let key = BackendKeyData::new(
-            self.connection_id as i32,
-            SecretKey::I32(self.connection_id as i32),
-        );
+        let key =
+            BackendKeyData::new(self.session_id as i32, SecretKey::I32(self.session_id as i32));
         backend::put(&mut self.output, PgWireBackendMessage::BackendKeyData(key));
         self.put_ready_for_query();
         self.flush().await
     }
 
-    /// Waits for bytes; an open transaction ends when the member loses the primary role.
+    /// Waits for input. Ends the session if its transaction is open when the member loses the
+    /// primary role.
     async fn read_input(&mut self) -> Result<(), SessionEnd> {
         let mut changes = self.member.changed.subscribe();
         loop {
@@ -335,9 +336,9 @@
             }
         }
         wait_while_paused(&self.member).await;
-        if self.connection_id <= self.member.unresponsive_up_to.load(Ordering::SeqCst) {
-            // The connection went silent: it stays open and never answers, but a transaction does
-            // not keep its locks for good.
+        if self.session_id <= self.member.unresponsive_up_to.load(Ordering::SeqCst) {
+            // An unresponsive connection stays open and never responds. Its transaction is rolled
+            // back, or it would keep its locks forever.
             sleep(IDLE_TRANSACTION_TIMEOUT).await;
             self.roll_back();
             std::future::pending::<()>().await;
@@ -366,7 +367,9 @@
         }
     }
 
-    /// Replaces the engine's connection after the database was rebuilt.
+    /// Reconnects to the database if it was rebuilt or the primary role was lost.
+    ///
+    /// Fails if a transaction is open.
     pub(crate) fn refresh_connection(&mut self) -> Result<(), ErrorResponse> {
         if !self.is_outdated() {
             return Ok(());
@@ -391,7 +394,7 @@
         backend::put_error(&mut self.output, error.sqlstate, &error.message);
     }
 
-    /// Reports the member's position if it moved since the last report.
+    /// Reports the member's position if it has changed since the last report.
     pub(crate) fn report_position(&mut self) {
         let position = self.member.replication.lock().position();
         if self.reported_position != Some(position) {
@@ -410,7 +413,7 @@
     }
 
     pub(crate) async fn flush_if_large(&mut self) -> Result<(), SessionEnd> {
-        if self.output.len() >= WRITE_THRESHOLD {
+        if self.output.len() >= WRITE_THRESHOLD_BYTES {
             self.flush().await?;
         }
         Ok(())
--- a/crates/standin/src/session/extended.rs
+++ b/crates/standin/src/session/extended.rs
@@ -1,4 +1,4 @@
-//! Extended queries: prepared statements and portals.
+//! Extended query protocol: prepared statements and portals.
 
 use std::collections::VecDeque;
 
@@ -17,7 +17,8 @@
 use crate::sqlite::StatementDescription;
 use crate::value::{self, ValueFormat};
 
-/// Outcome of one message: a refusal goes to the caller, an end closes the connection.
+/// Result of one message: an `ErrorResponse` is sent to the caller, a `SessionEnd` closes the
+/// connection.
 type MessageResult = Result<Result<(), ErrorResponse>, SessionEnd>;
 
 /// Prepared statement of a session.
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Ends an extended exchange; portals live no longer than their transaction.
+    /// Ends a pipeline of extended messages; portals are closed at the end of the transaction.
     pub(crate) async fn sync(&mut self) -> Result<(), SessionEnd> {
         self.skip_until_sync = false;
         if self.transaction_state == TransactionState::Idle {
@@ -189,8 +190,11 @@
     formats: &[i16],
 ) -> Result<Vec<Value>, ErrorResponse> {
     if types.len() != values.len() {
-        let message =
-            format!("bind supplies {} parameters, {} are required", values.len(), types.len());
+        let message = format!(
+            "bind message supplies {} parameters, the statement requires {}",
+            values.len(),
+            types.len()
+        );
         return Err(ErrorResponse::new("08P01", message));
     }
     let mut decoded = Vec::with_capacity(values.len());
@@ -201,7 +205,10 @@
         };
         let format = ValueFormat::at_index(formats, index);
         let value = value::decode_parameter(bytes, *oid, format).ok_or_else(|| {
-            ErrorResponse::new("22P03", format!("parameter {} does not fit", index + 1))
+            ErrorResponse::new(
+                "22P03",
+                format!("parameter {} is not a valid value of type OID {oid}", index + 1),
+            )
         })?;
         decoded.push(value);
     }
--- a/crates/standin/src/session/simple.rs
+++ b/crates/standin/src/session/simple.rs
@@ -1,4 +1,4 @@
-//! Simple queries and the group commands that arrive as such.
+//! Simple query protocol, which also carries the group commands.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -18,20 +18,20 @@
 use crate::sqlite::{ResultColumn, StatementResult, fixed_type_size};
 use crate::value::{ValueFormat, oid};
 
-/// What a statement text does to the transaction block.
+/// Transaction or session control that a statement performs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ControlStatement {
-    /// Opens a block.
+    /// Opens a transaction block.
     Begin,
-    /// Opens a block that only reads.
+    /// Opens a read-only transaction block.
     BeginReadOnly,
-    /// Commits the block.
+    /// Commits the transaction block.
     Commit,
-    /// Rolls the block back.
+    /// Rolls back the transaction block.
     Rollback,
-    /// Sets, shows or resets a parameter.
+    /// Sets, shows or resets a session parameter.
     SessionParameter,
-    /// Does something else.
+    /// None; the statement runs in the database.
     None,
 }
 
@@ -116,7 +116,7 @@
         Ok(Ok(()))
     }
 
-    /// Runs one statement under a slot, in a transaction of its own if none is open.
+    /// Runs one statement, in its own transaction if none is open.
     pub(crate) async fn run_statement(
         &mut self,
         sql: &str,
@@ -196,7 +196,7 @@
         let member = self.member.clone();
         let cancelled = || ErrorResponse::new("57014", "canceling statement due to user request");
         let _permit = tokio::select! {
-            permit = member.statement_slots.acquire() => permit.expect("slots are never closed"),
+            permit = member.statement_slots.acquire() => permit.expect("semaphore never closes"),
             () = self.cancel.notified() => return Err(cancelled()),
         };
         member.executed_statements.fetch_add(1, Ordering::Relaxed);
@@ -219,7 +219,7 @@
         Ok((command_tag(sql, &result), result))
     }
 
-    /// Writes the rows of a result, its description first.
+    /// Writes the row description and the rows of a result.
     async fn put_result(
         &mut self,
         result: &StatementResult,
@@ -300,7 +300,8 @@
         }
     }
 
-    /// Tells whether a labelled transaction is in the log, once a majority vouches for the term.
+    /// Returns whether a labelled transaction is in the log, once a majority has confirmed the
+    /// primary's term.
     async fn resolve_outcome(&mut self, label: &str) -> Result<String, ErrorResponse> {
         let index = self.member.replication.lock().resolve_outcome(label);
         self.unconfirmed_index = index;
@@ -311,7 +312,7 @@
     }
 }
 
-/// Splits a text into statements; a text that cannot be parsed counts as one.
+/// Splits a query string into statements; one that cannot be parsed counts as one statement.
 pub(crate) fn split_statements(text: &str) -> Vec<String> {
     if !text.trim_end().trim_end_matches(';').contains(';') {
         let only = text.trim().trim_end_matches(';').trim();
--- a/crates/standin/src/session/transaction.rs
+++ b/crates/standin/src/session/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions of a session: begin, commit into the log, roll back, confirm.
+//! Transactions of a session: begin, commit to the log, roll back, confirm.
 
 use tokio::time::Duration;
 use wire::backend::TransactionState;
@@ -8,21 +8,21 @@
 use crate::member::{LogEntry, MemberError};
 use crate::sqlite::SqliteError;
 
-/// Interval at which a locked database is tried again.
+/// Delay before a locked database is tried again.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(1);
-/// Attempts at a locked database before the transaction fails.
+/// Attempts to lock the database before the transaction fails.
 const MAX_BUSY_ATTEMPTS: u32 = 2_000;
 
-/// How a confirmation failed.
+/// Reason why a confirmation failed.
 pub(crate) enum ConfirmError {
-    /// The member lost the primary role before a majority held the position.
+    /// The member lost the primary role before a majority had replicated the position.
     NotPrimary,
-    /// The caller cancelled.
+    /// The caller cancelled the request.
     Cancelled,
 }
 
 impl MemberSession {
-    /// Opens a transaction in the engine; a writing one waits for the member's write lock.
+    /// Opens a database transaction; a write transaction waits for the member's write lock.
     pub(crate) async fn begin(&mut self, is_write: bool) -> Result<(), ErrorResponse> {
         self.refresh_connection()?;
         if !is_write {
@@ -46,7 +46,7 @@
         Err(SqliteError::Busy.into())
     }
 
-    /// Commits the open transaction and appends it to the log if it wrote.
+    /// Commits the open transaction and appends it to the log if it has writes.
     pub(crate) async fn commit(&mut self) -> Result<(), ErrorResponse> {
         if self.is_outdated() {
             self.roll_back();
@@ -72,7 +72,7 @@
                 Ok(index) => {
                     self.write_guard = None;
                     self.unconfirmed_index = Some(index);
-                    self.has_unanswered_commit = true;
+                    self.has_pending_commit_response = true;
                     return Ok(());
                 }
             }
@@ -81,7 +81,7 @@
         Err(SqliteError::Busy.into())
     }
 
-    /// Rolls back whatever is open.
+    /// Rolls back the open transaction, if any.
     pub(crate) fn roll_back(&mut self) {
         let _ = self.connection.control_transaction("ROLLBACK");
         self.write_guard = None;
@@ -90,10 +90,10 @@
         self.transaction_state = TransactionState::Idle;
     }
 
-    /// Waits until a majority holds what this session committed, in the term of this primary.
+    /// Waits until a majority has replicated this session's last commit in this primary's term.
     ///
-    /// A session that committed nothing waits for a round of batches sent after the call, which
-    /// proves that no other primary was promoted before it.
+    /// A session without a commit waits for acknowledgements of batches sent after the call, which
+    /// prove that no other primary was promoted before it.
     pub(crate) async fn confirm(&mut self) -> Result<(), ConfirmError> {
         let committed_index = self.unconfirmed_index.take();
         let mut changes = self.member.changed.subscribe();
@@ -122,9 +122,11 @@
         }
     }
 
-    /// Tells whether the answer to a commit just made is to be lost with the connection.
+    /// Returns whether the response to a commit just made must be dropped with the connection.
+    ///
+    /// Counts down the number of responses to drop.
     pub(crate) fn take_response_loss(&mut self) -> bool {
-        if !std::mem::take(&mut self.has_unanswered_commit) {
+        if !std::mem::take(&mut self.has_pending_commit_response) {
             return false;
         }
         self.member.update(|state| {
--- a/crates/standin/src/sqlite.rs
+++ b/crates/standin/src/sqlite.rs
@@ -1,4 +1,4 @@
-//! Embedded SQL engine of one member: a database in a temporary directory, gone with the member.
+//! SQLite database of a member, in a temporary directory that is deleted with the member.
 
 use std::path::{Path, PathBuf};
 
@@ -11,36 +11,36 @@
 use crate::type_inference;
 use crate::value::{self, ValueFormat, oid, oid_from_declared_type};
 
-/// Prepared statements that each connection keeps.
+/// Prepared statements cached per connection.
 const MAX_CACHED_STATEMENTS: usize = 64;
 
-/// File name of a database inside its directory.
+/// File name of the database in its directory.
 const DATABASE_FILE_NAME: &str = "member.db";
 
-/// Errors of the embedded engine.
+/// Errors of the SQLite database.
 #[derive(Debug, Snafu)]
 pub enum SqliteError {
-    /// Another connection holds a lock; the caller tries again.
+    /// Another connection holds a lock; the operation can be retried.
     #[snafu(display("the database is locked"))]
     Busy,
-    /// The engine refused the statement.
+    /// SQLite rejected the statement.
     #[snafu(display("{message}"))]
     Statement {
-        /// SQLSTATE that fits the refusal best.
+        /// Closest SQLSTATE of PostgreSQL.
         sqlstate: &'static str,
-        /// Engine's message.
+        /// Error message of SQLite.
         message: String,
     },
     /// The database could not be opened.
     #[snafu(display("cannot open the database: {source}"))]
     Open {
-        /// Cause reported by the engine.
+        /// Error reported by SQLite.
         source: rusqlite::Error,
     },
     /// The directory of the database could not be created.
     #[snafu(display("cannot create a temporary directory: {source}"))]
     Directory {
-        /// Cause reported by the system.
+        /// Error reported by the operating system.
         source: std::io::Error,
     },
 }
@@ -63,41 +63,41 @@
 /// Column of a result.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ResultColumn {
-    /// Name shown to the caller.
+    /// Name reported to the caller.
     pub name: String,
-    /// Type identifier.
+    /// OID of the PostgreSQL type.
     pub oid: u32,
 }
 
-/// Shape of a statement before it runs.
+/// Parameter types and result columns of a statement, known before it runs.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct StatementDescription {
-    /// Types of the parameters.
+    /// Type OIDs of the parameters.
     pub parameters: Vec<u32>,
-    /// Columns of the result, empty if the statement returns none.
+    /// Columns of the result; empty if the statement returns no rows.
     pub columns: Vec<ResultColumn>,
-    /// Tells that the statement does not write.
+    /// Whether the statement only reads.
     pub readonly: bool,
 }
 
-/// Rows of a result, each the body of a data row message.
+/// Result of an executed statement.
 #[derive(Clone, Debug, Default)]
 pub struct StatementResult {
     /// Columns of the result.
     pub columns: Vec<ResultColumn>,
-    /// Column values of each row, encoded.
+    /// Rows, each encoded as the body of a `DataRow` message.
     pub rows: Vec<BytesMut>,
-    /// Rows changed by a write.
+    /// Number of rows affected by a write.
     pub affected_rows: usize,
 }
 
-/// Database of one member.
+/// SQLite database of one member.
 #[derive(Debug)]
 pub struct SqliteDatabase {
     path: PathBuf,
-    /// Connection that applies the log.
+    /// Connection that replays the log.
     replay_connection: Connection,
-    /// Removes the files when the member is dropped.
+    /// Deletes the database files on drop.
     _directory: TempDir,
 }
 
@@ -108,24 +108,24 @@
             tempfile::Builder::new().prefix("hibiscus-").tempdir().context(DirectorySnafu)?;
         let path = directory.path().join(DATABASE_FILE_NAME);
         let replay_connection = open_connection(&path)?;
-        // Readers must not block the writer, and nothing here has to survive a crash.
+        // Readers must not block the writer, and the data need not survive a crash.
         replay_connection.execute_batch("PRAGMA journal_mode=WAL; PRAGMA synchronous=OFF;")?;
         Ok(Self { path, replay_connection, _directory: directory })
     }
 
-    /// Opens one more connection to the database.
+    /// Opens another connection to the database.
     pub fn connect(&self) -> Result<SqliteConnection, SqliteError> {
         let connection = open_connection(&self.path)?;
         connection.execute_batch("PRAGMA synchronous=OFF;")?;
         Ok(SqliteConnection { connection })
     }
 
-    /// Runs one logged statement outside any session.
+    /// Replays one logged statement, outside any session.
     pub fn replay(&self, sql: &str, parameters: &[Value]) -> Result<(), SqliteError> {
         run_to_completion(&self.replay_connection, sql, parameters)
     }
 
-    /// Runs a transaction control statement on the connection that applies the log.
+    /// Runs a transaction control statement on the connection that replays the log.
     pub fn control_transaction(&self, sql: &str) -> Result<(), SqliteError> {
         Ok(self.replay_connection.execute_batch(sql)?)
     }
@@ -153,6 +153,8 @@
     }
 
     /// Describes a statement without running it.
+    ///
+    /// Nonzero OIDs in `declared` override the inferred parameter types.
     pub fn describe(
         &self,
         sql: &str,
@@ -176,7 +178,7 @@
         })
     }
 
-    /// Tells whether a statement only reads.
+    /// Returns whether a statement only reads.
     pub fn is_readonly(&self, sql: &str) -> Result<bool, SqliteError> {
         Ok(self.connection.prepare_cached(sql)?.readonly())
     }
@@ -227,7 +229,7 @@
     values: &[Value],
 ) -> Result<(), SqliteError> {
     for (index, value) in values.iter().enumerate() {
-        // The engine numbers `$1` by first appearance, so the name decides the slot.
+        // SQLite numbers `$n` parameters by first appearance, so they are bound by name.
         let slot = statement.parameter_index(&format!("${}", index + 1))?;
         if let Some(slot) = slot {
             statement.raw_bind_parameter(slot, value)?;
@@ -250,7 +252,7 @@
         .collect()
 }
 
-/// Shortens the engine's name of a computed column to PostgreSQL's form.
+/// Converts SQLite's name of a computed column to the one that PostgreSQL reports.
 fn postgres_column_name(name: &str) -> String {
     match name.split_once('(') {
         Some((function, _)) if !function.is_empty() => function.to_lowercase(),
@@ -259,7 +261,7 @@
     }
 }
 
-/// Returns the fixed size of a type, or -1 if it varies.
+/// Returns the fixed size of a type in bytes, or -1 if its size varies.
 pub fn fixed_type_size(type_oid: u32) -> i16 {
     match type_oid {
         oid::BOOL => 1,
--- a/crates/standin/src/type_inference.rs
+++ b/crates/standin/src/type_inference.rs
@@ -1,4 +1,4 @@
-//! Types of parameters and computed columns, which the embedded engine does not report.
+//! Type inference for parameters and computed columns, whose types SQLite does not report.
 
 use std::ops::ControlFlow;
 
@@ -12,7 +12,7 @@
 
 use crate::value::{oid, oid_from_declared_type};
 
-/// Infers the type of every parameter of `sql`; unknown ones count as text.
+/// Infers the type OID of every parameter of `sql`; defaults to text.
 pub fn infer_parameter_types(connection: &Connection, sql: &str, count: usize) -> Vec<u32> {
     let mut types = vec![oid::TEXT; count];
     if count == 0 {
@@ -43,7 +43,7 @@
     types
 }
 
-/// Guesses the type of a column that has no declaration from its expression.
+/// Infers the type OID of a computed column from its expression; defaults to text.
 pub fn infer_expression_type(expression: &str) -> u32 {
     let lower = expression.to_ascii_lowercase();
     let integer_functions = ["count(", "sum(", "length(", "max(", "min(", "total("];
@@ -56,13 +56,13 @@
     oid::TEXT
 }
 
-/// Column of a table that a statement names.
+/// Column of a table that a statement refers to.
 struct TableColumn {
     name: String,
     oid: u32,
 }
 
-/// Lists the columns of the tables in order.
+/// Returns the columns of the tables in order.
 fn table_columns(connection: &Connection, tables: &[String]) -> Vec<TableColumn> {
     let mut columns = Vec::new();
     for table in tables {
@@ -84,11 +84,11 @@
 enum ColumnReference {
     /// Column with this name.
     Name(String),
-    /// Column at this place of the first table.
+    /// Column at this index of the first table.
     Position(usize),
 }
 
-/// Collects which column each parameter is compared with or stored into.
+/// Collects the column that each parameter is compared with or stored into.
 #[derive(Default)]
 struct ParameterVisitor {
     tables: Vec<String>,
--- a/crates/standin/src/value.rs
+++ b/crates/standin/src/value.rs
@@ -1,9 +1,9 @@
-//! Conversion between PostgreSQL wire values and the embedded engine's values.
+//! Conversion between PostgreSQL wire values and SQLite values.
 
 use bytes::{BufMut as _, BytesMut};
 use rusqlite::types::{Value, ValueRef};
 
-/// Type identifiers of PostgreSQL that the stand-in knows.
+/// OIDs of the PostgreSQL types that the stand-in supports.
 pub mod oid {
     /// Boolean.
     pub const BOOL: u32 = 16;
@@ -26,19 +26,21 @@
 /// Format of a value on the wire.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ValueFormat {
-    /// Printed form.
+    /// Text representation.
     Text,
-    /// Network byte order.
+    /// Binary representation in network byte order.
     Binary,
 }
 
 impl ValueFormat {
-    /// Reads a format code.
+    /// Converts a format code.
     pub fn from_code(code: i16) -> Self {
         if code == 1 { Self::Binary } else { Self::Text }
     }
 
-    /// Picks the format of column or parameter `index` by the protocol's rule.
+    /// Returns the format of column or parameter `index`.
+    ///
+    /// Without codes, all values are text; a single code applies to all values.
     pub fn at_index(codes: &[i16], index: usize) -> Self {
         match codes {
             [] => Self::Text,
@@ -48,7 +50,7 @@
     }
 }
 
-/// Returns the type that a declared column type stands for.
+/// Returns the type OID for the declared type of a column; unknown types map to text.
 pub fn oid_from_declared_type(declared: &str) -> u32 {
     let lower = declared.to_ascii_lowercase();
     let base_type = lower.split(['(', ' ']).next().unwrap_or_default();
@@ -64,7 +66,7 @@
     }
 }
 
-/// Decodes a parameter, or none if its bytes do not fit its type.
+/// Decodes a parameter. Returns `None` if its bytes are not valid for its type.
 pub fn decode_parameter(bytes: &[u8], oid: u32, format: ValueFormat) -> Option<Value> {
     match format {
         ValueFormat::Text => decode_text(std::str::from_utf8(bytes).ok()?, oid),
@@ -94,7 +96,7 @@
     }
 }
 
-/// Writes one column of a data row, length included.
+/// Encodes one column of a data row, preceded by its length.
 pub fn encode_column(buffer: &mut BytesMut, value: ValueRef<'_>, oid: u32, format: ValueFormat) {
     if value == ValueRef::Null {
         buffer.put_i32(-1);
