--- a/crates/standin/src/member.rs
+++ b/crates/standin/src/member.rs
@@ -1,4 +1,4 @@
-//! One member of a database group: its log, role and terms.
+//! Member of a database group: its log, role and terms.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -12,32 +12,32 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::Instant;
 
-use crate::engine::{EngineConnection, EngineError, MemberEngine};
 use crate::fault::{FaultChange, MemberFault};
+use crate::sqlite::{SqliteConnection, SqliteDatabase, SqliteError};
 
 /// Errors of a member's operations.
 #[derive(Debug, Snafu)]
 pub enum MemberError {
-    /// The member is not the primary, so nothing was committed.
+    /// The member is not the primary or the label was rejected, so nothing was committed.
     #[snafu(display("this member is not the primary"))]
     NotPrimary,
-    /// The term of a group command is not above the highest accepted one.
-    #[snafu(display("term {term} is refused, {promised} was accepted before"))]
-    TermRefused {
+    /// The term of a group command is stale, or the member was not fenced for that term.
+    #[snafu(display("term {term} rejected, the highest accepted term is {promised}"))]
+    StaleTerm {
         /// Term of the command.
         term: u64,
         /// Highest accepted term.
         promised: u64,
     },
-    /// The engine refused an operation.
+    /// The database rejected an operation.
     #[snafu(display("{source}"), context(false))]
-    Engine {
-        /// Cause reported by the engine.
-        source: EngineError,
+    Sqlite {
+        /// Error reported by the database.
+        source: SqliteError,
     },
 }
 
-/// Statement inside a log entry.
+/// Statement in a log entry.
 #[derive(Clone, Debug)]
 pub struct LoggedStatement {
     /// Statement text.
@@ -51,13 +51,13 @@
 pub struct LogEntry {
     /// Term under which the entry was written.
     pub term: u64,
-    /// Label given by the caller, by which the outcome can be asked for.
+    /// Label chosen by the caller, by which it can resolve the outcome later.
     pub label: Option<String>,
-    /// Statements in the order in which they ran; empty for the first entry of a term.
+    /// Statements in execution order; empty for the first entry of a term.
     pub statements: Vec<LoggedStatement>,
 }
 
-/// Part of the primary's log sent to a replica.
+/// Consecutive log entries that a primary sends to a replica.
 #[derive(Clone, Debug)]
 pub struct LogBatch {
     /// Term of the primary.
@@ -65,82 +65,82 @@
     /// Index at which the primary's term started.
     pub term_start: u64,
     /// Index of the entry before the first one sent.
-    pub previous: u64,
+    pub previous_index: u64,
     /// Term of that entry.
     pub previous_term: u64,
-    /// Entries sent, none for a heartbeat.
+    /// Entries to append; empty for a heartbeat.
     pub entries: Vec<Arc<LogEntry>>,
 }
 
-/// Answer of a replica to a batch.
+/// Response of a replica to a batch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum BatchAnswer {
-    /// The replica holds the primary's log up to this index.
-    Held(u64),
-    /// The logs differ before the batch; the primary sends from this index on.
-    Earlier(u64),
-    /// The replica follows another term.
-    Refused,
+pub enum BatchResponse {
+    /// The replica's log matches the primary's up to this index.
+    Matched(u64),
+    /// The logs differ before the batch; the primary retries with the entries after this index.
+    Mismatch(u64),
+    /// The member does not replicate from this primary in this term.
+    NotFollowing,
 }
 
-/// Last acknowledgement of a replica.
+/// Latest acknowledgement of a replica.
 #[derive(Clone, Copy, Debug)]
 struct ReplicaAck {
-    held: u64,
+    match_index: u64,
     sent_at: Instant,
 }
 
-/// State of a member that its operations change together.
+/// Replication state of a member, guarded by a single lock.
 #[derive(Debug)]
-pub struct MemberCore {
+pub struct ReplicationState {
     role: MemberRole,
     term: u64,
     term_start: u64,
     promised: u64,
-    follows: Option<String>,
+    followed_primary: Option<String>,
     log: Vec<Arc<LogEntry>>,
-    due: VecDeque<Instant>,
+    apply_times: VecDeque<Instant>,
     applied: u64,
-    heard: Instant,
+    last_contact: Instant,
     acks: HashMap<usize, ReplicaAck>,
-    barrier_at: Option<Instant>,
+    confirmation_requested_at: Option<Instant>,
     labels: HashMap<String, u64>,
-    barred: HashSet<String>,
-    engine: MemberEngine,
-    /// Counts replacements of the engine and losses of the primary role.
+    rejected_labels: HashSet<String>,
+    database: SqliteDatabase,
+    /// Counts rebuilds of the database and losses of the primary role.
     pub generation: u64,
-    /// Faults in force.
+    /// Active faults.
     pub fault: MemberFault,
 }
 
-impl MemberCore {
-    fn create() -> Result<Self, EngineError> {
+impl ReplicationState {
+    fn create() -> Result<Self, SqliteError> {
         Ok(Self {
             role: MemberRole::Replica,
             term: 0,
             term_start: 0,
             promised: 0,
-            follows: None,
+            followed_primary: None,
             log: Vec::new(),
-            due: VecDeque::new(),
+            apply_times: VecDeque::new(),
             applied: 0,
-            heard: Instant::now(),
+            last_contact: Instant::now(),
             acks: HashMap::new(),
-            barrier_at: None,
+            confirmation_requested_at: None,
             labels: HashMap::new(),
-            barred: HashSet::new(),
-            engine: MemberEngine::create()?,
+            rejected_labels: HashSet::new(),
+            database: SqliteDatabase::create()?,
             generation: 1,
             fault: MemberFault::default(),
         })
     }
 
-    /// Tells whether the member accepts writes.
+    /// Returns whether the member accepts writes.
     pub fn is_primary(&self) -> bool {
         self.role == MemberRole::Primary
     }
 
-    /// Returns the position that every answer carries.
+    /// Returns the position that the member reports with its responses.
     pub fn position(&self) -> MemberPosition {
         MemberPosition {
             role: self.role,
@@ -152,167 +152,178 @@
 
     /// Returns the full status.
     pub fn status(&self) -> MemberStatus {
-        let heard = match self.role {
+        let contact_age = match self.role {
             MemberRole::Primary => Duration::ZERO,
-            MemberRole::Replica | MemberRole::Fenced => self.heard.elapsed(),
+            MemberRole::Replica | MemberRole::Fenced => self.last_contact.elapsed(),
         };
         MemberStatus {
             position: self.position(),
             promised: self.promised,
             last_term: self.log.last().map_or(0, |entry| entry.term),
             received: self.log.len() as u64,
-            last_contact_ms: heard.as_millis() as u64,
+            last_contact_ms: contact_age.as_millis() as u64,
         }
     }
 
-    /// Opens a connection to the current engine.
-    pub fn connect(&self) -> Result<EngineConnection, EngineError> {
-        self.engine.connect()
+    /// Opens a connection to the current database.
+    pub fn connect(&self) -> Result<SqliteConnection, SqliteError> {
+        self.database.connect()
     }
 
-    /// Returns the index at which a labelled transaction stands in the log, or bars the label.
+    /// Returns the log index of a labelled transaction, or rejects the label from now on.
     ///
-    /// A barred label never commits on this member, so the answer stays true.
-    pub fn settle(&mut self, label: &str) -> Option<u64> {
-        let found = self.labels.get(label).copied();
-        if found.is_none() {
-            self.barred.insert(label.to_owned());
+    /// A rejected label never commits on this member, so a result of `None` stays valid.
+    pub fn resolve_outcome(&mut self, label: &str) -> Option<u64> {
+        let index = self.labels.get(label).copied();
+        if index.is_none() {
+            self.rejected_labels.insert(label.to_owned());
         }
-        found
+        index
     }
 
     /// Commits the open transaction of `connection` and appends it to the log.
     pub fn commit(
         &mut self,
-        connection: &EngineConnection,
+        connection: &SqliteConnection,
         entry: LogEntry,
     ) -> Result<u64, MemberError> {
-        let barred = entry.label.as_ref().is_some_and(|label| self.barred.contains(label));
-        if self.role != MemberRole::Primary || barred {
+        let is_rejected =
+            entry.label.as_ref().is_some_and(|label| self.rejected_labels.contains(label));
+        if self.role != MemberRole::Primary || is_rejected {
             return NotPrimarySnafu.fail();
         }
-        connection.control("COMMIT")?;
-        self.push(LogEntry { term: self.term, ..entry });
+        connection.control_transaction("COMMIT")?;
+        self.append_entry(LogEntry { term: self.term, ..entry });
         self.applied = self.log.len() as u64;
         Ok(self.applied)
     }
 
-    /// Accepts a fence and stops accepting writes and batches of lower terms.
+    /// Accepts a fence: from now on, rejects writes and batches of lower terms.
     pub fn fence(&mut self, term: u64) -> Result<MemberStatus, MemberError> {
         if term <= self.promised {
-            return TermRefusedSnafu { term, promised: self.promised }.fail();
+            return StaleTermSnafu { term, promised: self.promised }.fail();
         }
         self.promised = term;
-        self.leave_primary(MemberRole::Fenced);
+        self.step_down(MemberRole::Fenced);
         Ok(self.status())
     }
 
     /// Becomes the primary of the term that was fenced last.
     pub fn promote(&mut self, term: u64) -> Result<MemberStatus, MemberError> {
         if self.role != MemberRole::Fenced || term != self.promised {
-            return TermRefusedSnafu { term, promised: self.promised }.fail();
+            return StaleTermSnafu { term, promised: self.promised }.fail();
         }
         while self.applied < self.log.len() as u64 {
             self.apply_next()?;
         }
-        self.due.clear();
+        self.apply_times.clear();
         self.role = MemberRole::Primary;
         self.term = term;
         self.term_start = self.log.len() as u64;
         self.acks.clear();
-        self.push(LogEntry { term, ..LogEntry::default() });
+        self.append_entry(LogEntry { term, ..LogEntry::default() });
         self.applied = self.log.len() as u64;
         Ok(self.status())
     }
 
-    /// Follows the primary of a term from now on.
+    /// Replicates from the primary of a term from now on.
     pub fn follow(&mut self, term: u64, primary: &str) -> Result<MemberStatus, MemberError> {
-        let same = term == self.promised && self.role != MemberRole::Primary;
-        if term < self.promised || (term == self.promised && !same) {
-            return TermRefusedSnafu { term, promised: self.promised }.fail();
+        let accepted_before = term == self.promised && self.role != MemberRole::Primary;
+        if term < self.promised || (term == self.promised && !accepted_before) {
+            return StaleTermSnafu { term, promised: self.promised }.fail();
         }
         self.promised = term;
-        self.follows = Some(primary.to_owned());
-        self.leave_primary(MemberRole::Replica);
+        self.followed_primary = Some(primary.to_owned());
+        self.step_down(MemberRole::Replica);
         Ok(self.status())
     }
 
-    /// Takes a batch from the primary called `primary`.
-    pub fn append(&mut self, primary: &str, batch: &LogBatch) -> Result<BatchAnswer, MemberError> {
-        let follows = self.follows.as_deref() == Some(primary);
-        if self.role != MemberRole::Replica || self.promised != batch.term || !follows {
-            return Ok(BatchAnswer::Refused);
+    /// Appends a batch from the primary named `primary`.
+    pub fn append_batch(
+        &mut self,
+        primary: &str,
+        batch: &LogBatch,
+    ) -> Result<BatchResponse, MemberError> {
+        let is_followed = self.followed_primary.as_deref() == Some(primary);
+        if self.role != MemberRole::Replica || self.promised != batch.term || !is_followed {
+            return Ok(BatchResponse::NotFollowing);
         }
-        self.heard = Instant::now();
-        let held = self.log.len() as u64;
-        if batch.previous > held {
-            return Ok(BatchAnswer::Earlier(held));
+        self.last_contact = Instant::now();
+        let last_index = self.log.len() as u64;
+        if batch.previous_index > last_index {
+            return Ok(BatchResponse::Mismatch(last_index));
         }
-        if self.term_at(batch.previous) != batch.previous_term {
-            return Ok(BatchAnswer::Earlier(batch.previous.saturating_sub(1)));
+        if self.term_at(batch.previous_index) != batch.previous_term {
+            return Ok(BatchResponse::Mismatch(batch.previous_index.saturating_sub(1)));
         }
         for (offset, entry) in batch.entries.iter().enumerate() {
-            let index = batch.previous + offset as u64 + 1;
+            let index = batch.previous_index + offset as u64 + 1;
             if self.term_at(index) == entry.term {
                 continue;
             }
-            self.truncate(index - 1)?;
-            self.push((**entry).clone());
-            self.due.push_back(Instant::now() + Duration::from_millis(self.fault.lag_ms));
+            self.truncate_log(index - 1)?;
+            self.append_entry((**entry).clone());
+            self.apply_times.push_back(Instant::now() + Duration::from_millis(self.fault.lag_ms));
         }
-        let end = batch.previous + batch.entries.len() as u64;
-        // The first entry of a term replaces whatever an older primary left in its place.
+        let end = batch.previous_index + batch.entries.len() as u64;
+        // A term starts with its first entry, which replaces any entry that an older primary left
+        // at that index.
         if self.term != batch.term && end > batch.term_start {
             self.term = batch.term;
             self.term_start = batch.term_start;
         }
-        Ok(BatchAnswer::Held(end))
+        Ok(BatchResponse::Matched(end))
     }
 
-    /// Returns the batch for a replica that holds `held` entries, or none on a replica.
-    pub fn batch_after(&self, held: u64, limit: usize) -> Option<LogBatch> {
+    /// Returns the batch after `match_index`, or `None` if the member is not the primary.
+    pub fn batch_after(&self, match_index: u64, max_entries: usize) -> Option<LogBatch> {
         if !self.is_primary() {
             return None;
         }
-        let start = (held as usize).min(self.log.len());
-        let end = (start + limit).min(self.log.len());
+        let start = (match_index as usize).min(self.log.len());
+        let end = (start + max_entries).min(self.log.len());
         Some(LogBatch {
             term: self.term,
             term_start: self.term_start,
-            previous: start as u64,
+            previous_index: start as u64,
             previous_term: self.term_at(start as u64),
             entries: self.log[start..end].to_vec(),
         })
     }
 
-    /// Records an acknowledgement of the replica `peer`.
-    pub fn acknowledge(&mut self, peer: usize, term: u64, held: u64, sent_at: Instant) {
+    /// Records an acknowledgement from the replica at index `replica`.
+    ///
+    /// Ignores it if this member is not the primary of `term`.
+    pub fn acknowledge(&mut self, replica: usize, term: u64, match_index: u64, sent_at: Instant) {
         if self.role == MemberRole::Primary && self.term == term {
-            self.acks.insert(peer, ReplicaAck { held, sent_at });
+            self.acks.insert(replica, ReplicaAck { match_index, sent_at });
         }
     }
 
-    /// Tells whether a majority of `size` members holds `index` in the term of this primary.
+    /// Returns whether a majority of `group_size` members has replicated `index` in this primary's
+    /// term.
     ///
-    /// With `since`, only acknowledgements of batches sent at or after it count.
-    pub fn is_confirmed(&self, index: u64, size: usize, since: Option<Instant>) -> bool {
+    /// With `sent_since`, only acknowledgements of batches sent at or after it count.
+    pub fn has_quorum(&self, index: u64, group_size: usize, sent_since: Option<Instant>) -> bool {
         let target = index.max(self.term_start + 1);
-        let counts = |ack: &&ReplicaAck| {
-            ack.held >= target && since.is_none_or(|since| ack.sent_at >= since)
+        let acknowledges = |ack: &&ReplicaAck| {
+            ack.match_index >= target && sent_since.is_none_or(|since| ack.sent_at >= since)
         };
-        1 + self.acks.values().filter(counts).count() > size / 2
+        1 + self.acks.values().filter(acknowledges).count() > group_size / 2
     }
 
-    /// Asks for batches sent from now on, whose acknowledgements prove that the term goes on.
-    pub fn request_barrier(&mut self) -> Instant {
+    /// Requests a leadership confirmation and returns the time of the request.
+    ///
+    /// Acknowledgements of batches sent after it prove that the term is still current.
+    pub fn request_confirmation(&mut self) -> Instant {
         let now = Instant::now();
-        self.barrier_at = Some(now);
+        self.confirmation_requested_at = Some(now);
         now
     }
 
-    /// Returns when the last barrier was requested.
-    pub fn barrier_at(&self) -> Option<Instant> {
-        self.barrier_at
+    /// Returns when a leadership confirmation was last requested.
+    pub fn confirmation_requested_at(&self) -> Option<Instant> {
+        self.confirmation_requested_at
     }
 
     /// Returns the last index of the log.
@@ -320,34 +331,34 @@
         self.log.len() as u64
     }
 
-    /// Applies entries whose time has come and returns when the next one is due.
+    /// Applies the entries that are due and returns when the next one is.
     pub fn apply_due(&mut self) -> Result<Option<Instant>, MemberError> {
-        while let Some(due) = self.due.front().copied() {
+        while let Some(due) = self.apply_times.front().copied() {
             if due > Instant::now() {
                 return Ok(Some(due));
             }
             self.apply_next()?;
-            self.due.pop_front();
+            self.apply_times.pop_front();
         }
         Ok(None)
     }
 
     fn apply_next(&mut self) -> Result<(), MemberError> {
         let entry = self.log[self.applied as usize].clone();
-        apply_entry(&self.engine, &entry)?;
+        replay_entry(&self.database, &entry)?;
         self.applied += 1;
         Ok(())
     }
 
-    fn leave_primary(&mut self, role: MemberRole) {
+    fn step_down(&mut self, role: MemberRole) {
         if self.role == MemberRole::Primary {
             self.generation += 1;
-            self.heard = Instant::now();
+            self.last_contact = Instant::now();
         }
         self.role = role;
     }
 
-    fn push(&mut self, entry: LogEntry) {
+    fn append_entry(&mut self, entry: LogEntry) {
         if let Some(label) = &entry.label {
             self.labels.insert(label.clone(), self.log.len() as u64 + 1);
         }
@@ -359,111 +370,111 @@
         slot.and_then(|slot| self.log.get(slot)).map_or(0, |entry| entry.term)
     }
 
-    /// Drops entries past `end` and rebuilds the database if some of them were applied.
-    fn truncate(&mut self, end: u64) -> Result<(), MemberError> {
+    /// Removes entries past `end` and rebuilds the database if any of them was applied.
+    fn truncate_log(&mut self, end: u64) -> Result<(), MemberError> {
         if self.log.len() as u64 <= end {
             return Ok(());
         }
         self.log.truncate(end as usize);
         self.labels.retain(|_, index| *index <= end);
         if self.applied <= end {
-            self.due.truncate((end - self.applied) as usize);
+            self.apply_times.truncate((end - self.applied) as usize);
             return Ok(());
         }
-        self.due.clear();
-        self.engine = MemberEngine::create()?;
+        self.apply_times.clear();
+        self.database = SqliteDatabase::create()?;
         self.generation += 1;
         for entry in &self.log {
-            apply_entry(&self.engine, entry)?;
+            replay_entry(&self.database, entry)?;
         }
         self.applied = end;
         Ok(())
     }
 }
 
-fn apply_entry(engine: &MemberEngine, entry: &LogEntry) -> Result<(), EngineError> {
+fn replay_entry(database: &SqliteDatabase, entry: &LogEntry) -> Result<(), SqliteError> {
     if entry.statements.is_empty() {
         return Ok(());
     }
-    engine.control("BEGIN IMMEDIATE")?;
+    database.control_transaction("BEGIN IMMEDIATE")?;
     for statement in &entry.statements {
-        if let Err(error) = engine.replay(&statement.sql, &statement.parameters) {
-            engine.control("ROLLBACK")?;
+        if let Err(error) = database.replay(&statement.sql, &statement.parameters) {
+            database.control_transaction("ROLLBACK")?;
             return Err(error);
         }
     }
-    engine.control("COMMIT")
+    database.control_transaction("COMMIT")
 }
 
-/// Member of a group as its tasks share it.
+/// Group member that its tasks share.
 #[derive(Debug)]
 pub struct GroupMember {
-    /// Place of the member in its group.
+    /// Index of the member in its group.
     pub index: usize,
     /// Logical name of the member.
     pub name: String,
     /// Availability zone of the member.
     pub zone: String,
-    /// State that operations change together.
-    pub core: Mutex<MemberCore>,
-    /// Counts changes of the state, so that tasks can wait for the next one.
+    /// Replication state.
+    pub replication: Mutex<ReplicationState>,
+    /// Counts state changes, so that tasks can wait for the next one.
     pub changed: watch::Sender<u64>,
-    /// Statements that may run at once.
-    pub slots: Semaphore,
-    /// Serialises writing transactions in the order of their arrival.
-    pub writer: Arc<tokio::sync::Mutex<()>>,
-    /// Open connections of callers.
-    pub connections: AtomicU32,
-    /// Connections opened before this count have gone silent.
-    pub silenced: AtomicU64,
-    /// Counts connections opened so far.
-    pub opened: AtomicU64,
-    /// Counts statements run so far, group commands left out.
-    pub statements: AtomicU64,
+    /// Limits the statements that run concurrently.
+    pub statement_slots: Semaphore,
+    /// Serializes write transactions in order of arrival.
+    pub write_lock: Arc<tokio::sync::Mutex<()>>,
+    /// Number of open connections, those of the control user excluded.
+    pub open_connections: AtomicU32,
+    /// Number of the last session made unresponsive; all earlier ones are unresponsive too.
+    pub unresponsive_up_to: AtomicU64,
+    /// Number of connections opened so far, which numbers the sessions.
+    pub total_connections: AtomicU64,
+    /// Number of statements executed so far, group commands excluded.
+    pub executed_statements: AtomicU64,
 }
 
 impl GroupMember {
     /// Creates an empty member.
-    pub fn create(index: usize, name: &str, zone: &str, slots: usize) -> Result<Self, EngineError> {
+    pub fn create(index: usize, name: &str, zone: &str, slots: usize) -> Result<Self, SqliteError> {
         Ok(Self {
             index,
             name: name.to_owned(),
             zone: zone.to_owned(),
-            core: Mutex::new(MemberCore::create()?),
+            replication: Mutex::new(ReplicationState::create()?),
             changed: watch::Sender::new(0),
-            slots: Semaphore::new(slots),
-            writer: Arc::default(),
-            connections: AtomicU32::new(0),
-            silenced: AtomicU64::new(0),
-            opened: AtomicU64::new(0),
-            statements: AtomicU64::new(0),
+            statement_slots: Semaphore::new(slots),
+            write_lock: Arc::default(),
+            open_connections: AtomicU32::new(0),
+            unresponsive_up_to: AtomicU64::new(0),
+            total_connections: AtomicU64::new(0),
+            executed_statements: AtomicU64::new(0),
         })
     }
 
-    /// Runs an operation on the state and wakes the tasks that wait for a change.
-    pub fn update<T>(&self, operation: impl FnOnce(&mut MemberCore) -> T) -> T {
-        let result = operation(&mut self.core.lock());
+    /// Runs an operation on the replication state and wakes the tasks that wait for a change.
+    pub fn update<T>(&self, operation: impl FnOnce(&mut ReplicationState) -> T) -> T {
+        let result = operation(&mut self.replication.lock());
         self.changed.send_modify(|count| *count += 1);
         result
     }
 
-    /// Changes the faults in force.
+    /// Changes the active faults.
     pub fn change_fault(&self, change: &FaultChange) {
-        self.update(|core| core.fault.change(change));
+        self.update(|state| state.fault.change(change));
         if change.silence {
-            let opened = self.opened.load(Ordering::SeqCst);
-            self.silenced.store(opened, Ordering::SeqCst);
+            let total = self.total_connections.load(Ordering::SeqCst);
+            self.unresponsive_up_to.store(total, Ordering::SeqCst);
             self.changed.send_modify(|count| *count += 1);
         }
     }
 
-    /// Returns the number of statements run so far.
-    pub fn served(&self) -> u64 {
-        self.statements.load(Ordering::Relaxed)
+    /// Returns the number of statements executed so far.
+    pub fn executed_statements(&self) -> u64 {
+        self.executed_statements.load(Ordering::Relaxed)
     }
 
-    /// Returns the faults in force.
+    /// Returns the active faults.
     pub fn fault(&self) -> MemberFault {
-        self.core.lock().fault.clone()
+        self.replication.lock().fault.clone()
     }
 }
--- a/crates/standin/src/session.rs
+++ b/crates/standin/src/session.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL sessions of one member.
+//! PostgreSQL sessions of a member.
 
 mod extended;
 mod simple;
@@ -24,31 +24,31 @@
 use wire::backend::{self, TransactionState};
 use wire::group::{NOT_PRIMARY, POSITION_PARAMETER, STALE_TERM, TOO_MANY_CONNECTIONS};
 
-use crate::engine::{EngineConnection, EngineError};
 use crate::group::{GroupSettings, zone_delay};
 use crate::member::{GroupMember, LoggedStatement, MemberError};
+use crate::sqlite::{SqliteConnection, SqliteError};
 
 pub(crate) use extended::{PortalState, PreparedStatement};
 
-/// User name whose connections do not count against the connection limit.
+/// User whose connections are exempt from the connection limit and the connection delay.
 pub const CONTROL_USER: &str = "hibiscus-control";
-/// Application name by which a proxy tells its availability zone.
-pub const ZONE_PREFIX: &str = "hibiscus/";
-/// Bytes collected before they are written to the socket.
-const WRITE_THRESHOLD: usize = 64 * 1024;
-/// Time after which the locks of a transaction are freed whose caller cannot be reached.
-const IDLE_TRANSACTION_LIMIT: Duration = Duration::from_secs(1);
-/// Interval at which a paused session looks whether it may go on.
-const PAUSE_INTERVAL: Duration = Duration::from_millis(10);
+/// Prefix of the application name by which a proxy reports its availability zone.
+pub const APPLICATION_NAME_PREFIX: &str = "hibiscus/";
+/// Size of the output buffer at which it is written to the socket.
+const WRITE_THRESHOLD_BYTES: usize = 64 * 1024;
+/// Time after which the transaction of an unresponsive connection is rolled back to free its locks.
+const IDLE_TRANSACTION_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval at which a paused session polls for the end of the pause.
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a session ends.
+/// Reason why a session ended.
 #[derive(Debug)]
 pub(crate) enum SessionEnd {
-    /// The caller closed the connection or sent something unreadable.
+    /// The caller closed the connection or sent a malformed message.
     Closed,
-    /// The member drops the connection without a word.
+    /// The member closed the connection.
     Dropped,
-    /// The socket failed.
+    /// An operation on the socket failed.
     Socket,
 }
 
@@ -58,40 +58,40 @@
     }
 }
 
-/// Refusal of a statement.
+/// Error that is sent to the caller.
 #[derive(Clone, Debug)]
-pub(crate) struct StatementRefusal {
+pub(crate) struct ErrorResponse {
     pub(crate) sqlstate: &'static str,
     pub(crate) message: String,
 }
 
-impl StatementRefusal {
+impl ErrorResponse {
     pub(crate) fn new(sqlstate: &'static str, message: impl Into<String>) -> Self {
         Self { sqlstate, message: message.into() }
     }
 }
 
-impl From<EngineError> for StatementRefusal {
-    fn from(error: EngineError) -> Self {
+impl From<SqliteError> for ErrorResponse {
+    fn from(error: SqliteError) -> Self {
         match error {
-            EngineError::Busy => Self::new("40001", "could not serialize access"),
-            EngineError::Statement { sqlstate, message } => Self::new(sqlstate, message),
+            SqliteError::Busy => Self::new("40001", "could not serialize access"),
+            SqliteError::Statement { sqlstate, message } => Self::new(sqlstate, message),
             other => Self::new("XX000", other.to_string()),
         }
     }
 }
 
-impl From<MemberError> for StatementRefusal {
+impl From<MemberError> for ErrorResponse {
     fn from(error: MemberError) -> Self {
         match error {
             MemberError::NotPrimary => Self::new(NOT_PRIMARY, error.to_string()),
-            MemberError::TermRefused { .. } => Self::new(STALE_TERM, error.to_string()),
-            MemberError::Engine { source } => source.into(),
+            MemberError::StaleTerm { .. } => Self::new(STALE_TERM, error.to_string()),
+            MemberError::Sqlite { source } => source.into(),
         }
     }
 }
 
-/// Cancel requests of one member, by the process number given at startup.
+/// Cancellation signals of a member's sessions, by the process ID that each reported at startup.
 pub(crate) type CancelRegistry = Mutex<HashMap<i32, Arc<Notify>>>;
 
 /// Session of one connection.
@@ -102,24 +102,24 @@
     pub(crate) socket: TcpStream,
     pub(crate) input: BytesMut,
     pub(crate) output: BytesMut,
-    pub(crate) engine: EngineConnection,
+    pub(crate) connection: SqliteConnection,
     pub(crate) generation: u64,
-    pub(crate) number: u64,
-    pub(crate) delay: Duration,
-    pub(crate) state: TransactionState,
-    pub(crate) writer: Option<tokio::sync::OwnedMutexGuard<()>>,
-    pub(crate) logged: Vec<LoggedStatement>,
+    pub(crate) session_id: u64,
+    pub(crate) round_trip_delay: Duration,
+    pub(crate) transaction_state: TransactionState,
+    pub(crate) write_guard: Option<tokio::sync::OwnedMutexGuard<()>>,
+    pub(crate) logged_statements: Vec<LoggedStatement>,
     pub(crate) label: Option<String>,
-    pub(crate) unconfirmed: Option<u64>,
-    pub(crate) committed: bool,
-    pub(crate) reported: Option<MemberPosition>,
-    pub(crate) statements: HashMap<String, PreparedStatement>,
+    pub(crate) unconfirmed_index: Option<u64>,
+    pub(crate) has_pending_commit_response: bool,
+    pub(crate) reported_position: Option<MemberPosition>,
+    pub(crate) prepared_statements: HashMap<String, PreparedStatement>,
     pub(crate) portals: HashMap<String, PortalState>,
-    pub(crate) skipping: bool,
+    pub(crate) skip_until_sync: bool,
     pub(crate) cancel: Arc<Notify>,
 }
 
-/// Accepts connections for as long as the member lives.
+/// Accepts connections until the task is aborted.
 pub(crate) async fn serve(
     listener: TcpListener,
     member: Arc<GroupMember>,
@@ -129,7 +129,7 @@
     let registry = Arc::new(CancelRegistry::default());
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            sleep(PAUSE_INTERVAL).await;
+            sleep(PAUSE_POLL_INTERVAL).await;
             continue;
         };
         let _ = socket.set_nodelay(true);
@@ -147,32 +147,32 @@
                     }
                 }
             };
-            let run = accept(socket, member.clone(), settings, group_size, registry);
+            let run = run_connection(socket, member.clone(), settings, group_size, registry);
             tokio::select! {
-                end = run => debug!("session of {} ended: {end:?}", member.name),
-                () = stopped => debug!("session of {} dropped", member.name),
+                end = run => debug!("session of member {} ended: {end:?}", member.name),
+                () = stopped => debug!("member {} stopped, session dropped", member.name),
             }
         });
     }
 }
 
-/// Counts a connection against the limit for as long as it lives.
-struct ConnectionCount(Arc<GroupMember>);
+/// Counts a connection against the limit until dropped.
+struct ConnectionGuard(Arc<GroupMember>);
 
-impl Drop for ConnectionCount {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.connections.fetch_sub(1, Ordering::SeqCst);
+        self.0.open_connections.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-async fn accept(
+async fn run_connection(
     mut socket: TcpStream,
     member: Arc<GroupMember>,
     settings: Arc<GroupSettings>,
     group_size: usize,
     registry: Arc<CancelRegistry>,
 ) -> Result<(), SessionEnd> {
-    hold_while_paused(&member).await;
+    wait_while_paused(&member).await;
     let mut input = BytesMut::with_capacity(4096);
     let Some(startup) = read_startup(&mut socket, &mut input, &registry).await? else {
         return Ok(());
@@ -180,14 +180,14 @@
     let user = startup.get("user").cloned().unwrap_or_default();
     let zone = startup
         .get("application_name")
-        .and_then(|name| name.strip_prefix(ZONE_PREFIX))
+        .and_then(|name| name.strip_prefix(APPLICATION_NAME_PREFIX))
         .unwrap_or(&member.zone)
         .to_owned();
-    let mut count = None;
+    let mut guard = None;
     if user != CONTROL_USER {
         sleep(Duration::from_millis(settings.connect_ms)).await;
-        let before = member.connections.fetch_add(1, Ordering::SeqCst);
-        count = Some(ConnectionCount(member.clone()));
+        let before = member.open_connections.fetch_add(1, Ordering::SeqCst);
+        guard = Some(ConnectionGuard(member.clone()));
         if before >= settings.connections {
             let mut output = BytesMut::new();
             backend::put_error(&mut output, TOO_MANY_CONNECTIONS, "too many connections");
@@ -195,14 +195,14 @@
             return Ok(());
         }
     }
-    let (engine, generation) = {
-        let core = member.core.lock();
-        (core.connect().map_err(|_| SessionEnd::Dropped)?, core.generation)
+    let (connection, generation) = {
+        let state = member.replication.lock();
+        (state.connect().map_err(|_| SessionEnd::Dropped)?, state.generation)
     };
-    let number = member.opened.fetch_add(1, Ordering::SeqCst) + 1;
+    let session_id = member.total_connections.fetch_add(1, Ordering::SeqCst) + 1;
     let cancel = Arc::new(Notify::new());
-    registry.lock().insert(number as i32, cancel.clone());
-    let delay = 2 * zone_delay(&settings, &zone, &member.zone);
+    registry.lock().insert(session_id as i32, cancel.clone());
+    let round_trip_delay = 2 * zone_delay(&settings, &zone, &member.zone);
     let mut session = MemberSession {
         member,
         settings,
@@ -210,30 +210,32 @@
         socket,
         input,
         output: BytesMut::new(),
-        engine,
+        connection,
         generation,
-        number,
-        delay,
-        state: TransactionState::Idle,
-        writer: None,
-        logged: Vec::new(),
+        session_id,
+        round_trip_delay,
+        transaction_state: TransactionState::Idle,
+        write_guard: None,
+        logged_statements: Vec::new(),
         label: None,
-        unconfirmed: None,
-        committed: false,
-        reported: None,
-        statements: HashMap::new(),
+        unconfirmed_index: None,
+        has_pending_commit_response: false,
+        reported_position: None,
+        prepared_statements: HashMap::new(),
         portals: HashMap::new(),
-        skipping: false,
+        skip_until_sync: false,
         cancel,
     };
     let end = session.run().await;
-    session.abandon();
-    registry.lock().remove(&(number as i32));
-    drop(count);
+    session.roll_back();
+    registry.lock().remove(&(session_id as i32));
+    drop(guard);
     end
 }
 
-/// Reads messages up to the startup; returns none if the connection was for a cancel request.
+/// Reads messages up to the startup message and returns its parameters.
+///
+/// Returns `None` if the connection carried a cancel request.
 async fn read_startup(
     socket: &mut TcpStream,
     input: &mut BytesMut,
@@ -267,15 +269,15 @@
     }
 }
 
-async fn hold_while_paused(member: &GroupMember) {
+async fn wait_while_paused(member: &GroupMember) {
     while member.fault().paused {
-        sleep(PAUSE_INTERVAL).await;
+        sleep(PAUSE_POLL_INTERVAL).await;
     }
 }
 
 impl MemberSession {
     async fn run(&mut self) -> Result<(), SessionEnd> {
-        self.greet().await?;
+        self.complete_startup().await?;
         let mut context = DecodeContext::default();
         context.awaiting_frontend_ssl = false;
         context.awaiting_frontend_startup = false;
@@ -284,16 +286,16 @@
                 .map_err(|_| SessionEnd::Closed)?;
             match message {
                 Some(PgWireFrontendMessage::Terminate(_)) => return Ok(()),
-                Some(message) => self.handle(message).await?,
+                Some(message) => self.handle_message(message).await?,
                 None => {
                     self.flush().await?;
-                    self.read().await?;
+                    self.read_input().await?;
                 }
             }
         }
     }
 
-    async fn greet(&mut self) -> Result<(), SessionEnd> {
+    async fn complete_startup(&mut self) -> Result<(), SessionEnd> {
         backend::put(&mut self.output, PgWireBackendMessage::Authentication(Authentication::Ok));
         for (name, value) in [
             ("server_version", "15.0"),
@@ -305,22 +307,24 @@
         ] {
             backend::put_parameter_status(&mut self.output, name, value);
         }
-        let key = BackendKeyData::new(self.number as i32, SecretKey::I32(self.number as i32));
+        let key =
+            BackendKeyData::new(self.session_id as i32, SecretKey::I32(self.session_id as i32));
         backend::put(&mut self.output, PgWireBackendMessage::BackendKeyData(key));
-        self.put_ready();
+        self.put_ready_for_query();
         self.flush().await
     }
 
-    /// Waits for bytes; an open transaction ends when the member loses the primary role.
-    async fn read(&mut self) -> Result<(), SessionEnd> {
+    /// Waits for input. Ends the session if its transaction is open when the member loses the
+    /// primary role.
+    async fn read_input(&mut self) -> Result<(), SessionEnd> {
         let mut changes = self.member.changed.subscribe();
         loop {
-            if self.state != TransactionState::Idle && self.is_outdated() {
+            if self.transaction_state != TransactionState::Idle && self.is_outdated() {
                 backend::put_error(&mut self.output, NOT_PRIMARY, "the primary was replaced");
                 self.flush().await?;
                 return Err(SessionEnd::Dropped);
             }
-            let in_transaction = self.state != TransactionState::Idle;
+            let in_transaction = self.transaction_state != TransactionState::Idle;
             tokio::select! {
                 read = self.socket.read_buf(&mut self.input) => {
                     if read? == 0 {
@@ -331,22 +335,22 @@
                 _ = changes.changed(), if in_transaction => {}
             }
         }
-        hold_while_paused(&self.member).await;
-        if self.number <= self.member.silenced.load(Ordering::SeqCst) {
-            // The connection went silent: it stays open and never answers, but a transaction does
-            // not keep its locks for good.
-            sleep(IDLE_TRANSACTION_LIMIT).await;
-            self.abandon();
+        wait_while_paused(&self.member).await;
+        if self.session_id <= self.member.unresponsive_up_to.load(Ordering::SeqCst) {
+            // An unresponsive connection stays open and never responds. Its transaction is rolled
+            // back, or it would keep its locks forever.
+            sleep(IDLE_TRANSACTION_TIMEOUT).await;
+            self.roll_back();
             std::future::pending::<()>().await;
         }
-        if !self.delay.is_zero() {
-            sleep(self.delay).await;
+        if !self.round_trip_delay.is_zero() {
+            sleep(self.round_trip_delay).await;
         }
         Ok(())
     }
 
-    async fn handle(&mut self, message: PgWireFrontendMessage) -> Result<(), SessionEnd> {
-        if self.skipping && !matches!(message, PgWireFrontendMessage::Sync(_)) {
+    async fn handle_message(&mut self, message: PgWireFrontendMessage) -> Result<(), SessionEnd> {
+        if self.skip_until_sync && !matches!(message, PgWireFrontendMessage::Sync(_)) {
             return Ok(());
         }
         match message {
@@ -354,45 +358,47 @@
             PgWireFrontendMessage::Sync(_) => self.sync().await,
             PgWireFrontendMessage::Flush(_) => self.flush().await,
             other => {
-                if let Err(refusal) = self.extended_message(other).await? {
-                    self.refuse(&refusal);
-                    self.skipping = true;
+                if let Err(error) = self.extended_message(other).await? {
+                    self.fail_statement(&error);
+                    self.skip_until_sync = true;
                 }
                 Ok(())
             }
         }
     }
 
-    /// Replaces the engine's connection after the database was rebuilt.
-    pub(crate) fn refresh_engine(&mut self) -> Result<(), StatementRefusal> {
+    /// Reconnects to the database if it was rebuilt or the primary role was lost.
+    ///
+    /// Fails if a transaction is open.
+    pub(crate) fn refresh_connection(&mut self) -> Result<(), ErrorResponse> {
         if !self.is_outdated() {
             return Ok(());
         }
-        if self.state != TransactionState::Idle {
-            return Err(StatementRefusal::new(NOT_PRIMARY, "the primary was replaced"));
+        if self.transaction_state != TransactionState::Idle {
+            return Err(ErrorResponse::new(NOT_PRIMARY, "the primary was replaced"));
         }
-        let core = self.member.core.lock();
-        self.engine = core.connect()?;
-        self.generation = core.generation;
+        let state = self.member.replication.lock();
+        self.connection = state.connect()?;
+        self.generation = state.generation;
         Ok(())
     }
 
     fn is_outdated(&self) -> bool {
-        self.member.core.lock().generation != self.generation
+        self.member.replication.lock().generation != self.generation
     }
 
-    pub(crate) fn refuse(&mut self, refusal: &StatementRefusal) {
-        if self.state == TransactionState::Open {
-            self.state = TransactionState::Failed;
+    pub(crate) fn fail_statement(&mut self, error: &ErrorResponse) {
+        if self.transaction_state == TransactionState::Open {
+            self.transaction_state = TransactionState::Failed;
         }
-        backend::put_error(&mut self.output, refusal.sqlstate, &refusal.message);
+        backend::put_error(&mut self.output, error.sqlstate, &error.message);
     }
 
-    /// Reports the member's position if it moved since the last report.
+    /// Reports the member's position if it has changed since the last report.
     pub(crate) fn report_position(&mut self) {
-        let position = self.member.core.lock().position();
-        if self.reported != Some(position) {
-            self.reported = Some(position);
+        let position = self.member.replication.lock().position();
+        if self.reported_position != Some(position) {
+            self.reported_position = Some(position);
             backend::put_parameter_status(
                 &mut self.output,
                 POSITION_PARAMETER,
@@ -401,20 +407,20 @@
         }
     }
 
-    pub(crate) fn put_ready(&mut self) {
+    pub(crate) fn put_ready_for_query(&mut self) {
         self.report_position();
-        backend::put_ready_for_query(&mut self.output, self.state);
+        backend::put_ready_for_query(&mut self.output, self.transaction_state);
     }
 
     pub(crate) async fn flush_if_large(&mut self) -> Result<(), SessionEnd> {
-        if self.output.len() >= WRITE_THRESHOLD {
+        if self.output.len() >= WRITE_THRESHOLD_BYTES {
             self.flush().await?;
         }
         Ok(())
     }
 
     async fn flush(&mut self) -> Result<(), SessionEnd> {
-        hold_while_paused(&self.member).await;
+        wait_while_paused(&self.member).await;
         if !self.output.is_empty() {
             self.socket.write_all(&self.output).await?;
             self.output.clear();
--- a/crates/standin/src/value.rs
+++ b/crates/standin/src/value.rs
@@ -1,9 +1,9 @@
-//! Conversion between PostgreSQL wire values and the embedded engine's values.
+//! Conversion between PostgreSQL wire values and SQLite values.
 
 use bytes::{BufMut as _, BytesMut};
 use rusqlite::types::{Value, ValueRef};
 
-/// Type identifiers of PostgreSQL that the stand-in knows.
+/// OIDs of the PostgreSQL types that the stand-in supports.
 pub mod oid {
     /// Boolean.
     pub const BOOL: u32 = 16;
@@ -26,33 +26,35 @@
 /// Format of a value on the wire.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ValueFormat {
-    /// Printed form.
+    /// Text representation.
     Text,
-    /// Network byte order.
+    /// Binary representation in network byte order.
     Binary,
 }
 
 impl ValueFormat {
-    /// Reads a format code.
-    pub fn of_code(code: i16) -> Self {
+    /// Converts a format code.
+    pub fn from_code(code: i16) -> Self {
         if code == 1 { Self::Binary } else { Self::Text }
     }
 
-    /// Picks the format of column or parameter `index` by the protocol's rule.
-    pub fn pick(codes: &[i16], index: usize) -> Self {
+    /// Returns the format of column or parameter `index`.
+    ///
+    /// Without codes, all values are text; a single code applies to all values.
+    pub fn at_index(codes: &[i16], index: usize) -> Self {
         match codes {
             [] => Self::Text,
-            [only] => Self::of_code(*only),
-            several => Self::of_code(several.get(index).copied().unwrap_or_default()),
+            [code] => Self::from_code(*code),
+            codes => Self::from_code(codes.get(index).copied().unwrap_or_default()),
         }
     }
 }
 
-/// Returns the type that a declared column type stands for.
-pub fn oid_of_declaration(declaration: &str) -> u32 {
-    let lower = declaration.to_ascii_lowercase();
-    let word = lower.split(['(', ' ']).next().unwrap_or_default();
-    match word {
+/// Returns the type OID for the declared type of a column; unknown types map to text.
+pub fn oid_from_declared_type(declared: &str) -> u32 {
+    let lower = declared.to_ascii_lowercase();
+    let base_type = lower.split(['(', ' ']).next().unwrap_or_default();
+    match base_type {
         "bigint" | "int8" | "bigserial" => oid::INT8,
         "int" | "integer" | "int4" | "serial" => oid::INT4,
         "smallint" | "int2" => oid::INT2,
@@ -64,8 +66,8 @@
     }
 }
 
-/// Decodes a parameter, or none if its bytes do not fit its type.
-pub fn decode(bytes: &[u8], oid: u32, format: ValueFormat) -> Option<Value> {
+/// Decodes a parameter. Returns `None` if its bytes are not valid for its type.
+pub fn decode_parameter(bytes: &[u8], oid: u32, format: ValueFormat) -> Option<Value> {
     match format {
         ValueFormat::Text => decode_text(std::str::from_utf8(bytes).ok()?, oid),
         ValueFormat::Binary => decode_binary(bytes, oid),
@@ -94,8 +96,8 @@
     }
 }
 
-/// Writes one column of a data row, length included.
-pub fn encode(buffer: &mut BytesMut, value: ValueRef<'_>, oid: u32, format: ValueFormat) {
+/// Encodes one column of a data row, preceded by its length.
+pub fn encode_column(buffer: &mut BytesMut, value: ValueRef<'_>, oid: u32, format: ValueFormat) {
     if value == ValueRef::Null {
         buffer.put_i32(-1);
         return;
