--- a/crates/lab/tests/limits.rs
+++ b/crates/lab/tests/limits.rs
@@ -81,7 +81,7 @@
     let share = |running: &proxy::instance::RunningInstance| {
         let catalog = running.instance.catalog();
         let key = catalog.team_id(name).expect("the team is declared");
-        let shares = running.instance.book.shares(&catalog);
+        let shares = running.instance.ledger.shares(&catalog);
         shares.iter().find(|(team, _)| *team == key).map_or(0, |(_, share)| *share)
     };
     environment.instances.iter().map(share).collect()
@@ -145,14 +145,14 @@
     drop(caller);
     wait_for("a share", || held(&environment, 0)[0] > 0).await;
     let instance = environment.instances[0].instance.clone();
-    let epoch = environment.instances[1].instance.book.epoch();
+    let epoch = environment.instances[1].instance.ledger.epoch();
     drain::drain(&instance).await;
     assert_eq!(held(&environment, 0)[0], 0);
     wait_for("the whole to be held by the others", || {
         held(&environment, 0)[1..].iter().sum::<u64>() == WHOLE
     })
     .await;
-    assert_eq!(environment.instances[1].instance.book.epoch(), epoch, "no census was needed");
+    assert_eq!(environment.instances[1].instance.ledger.epoch(), epoch, "no census was needed");
 }
 
 async fn goes_on_through_a_store_outage(environment: LabEnvironment) {
@@ -253,7 +253,7 @@
     let mut lower = (*stored).clone();
     lower.head.revision = 2;
     let document = Document::parse(&lower.text).expect("valid");
-    assert!(!environment.instances[0].instance.put_in_force(lower, &document));
+    assert!(!environment.instances[0].instance.apply_document(lower, &document));
     assert_eq!(environment.instances[0].instance.revision(), 3);
 }
 
--- a/crates/load/src/workload.rs
+++ b/crates/load/src/workload.rs
@@ -11,7 +11,7 @@
 use lab::profile::DeploymentProfile;
 use lab::relay::TcpRelay;
 use parking_lot::Mutex;
-use proxy::counters::ReadTally;
+use proxy::counters::ReadCounts;
 use serde::Serialize;
 
 use crate::caller::{self, BROWSE_ROWS, CALLER_PATIENCE, RunContext};
@@ -172,7 +172,7 @@
 
 /// Returns the part of all reads that replicas served; none without proxies.
 fn read_share(environment: &LabEnvironment) -> f64 {
-    let sum = |count: fn(&ReadTally) -> &AtomicU64| -> u64 {
+    let sum = |count: fn(&ReadCounts) -> &AtomicU64| -> u64 {
         let instances = environment.instances.iter();
         instances
             .map(|running| count(&running.instance.counters.reads).load(Ordering::Relaxed))
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -13,44 +13,44 @@
     /// The member said that it is not the primary.
     NotPrimary,
     /// The answer's position does not cover the session.
-    StaleAnswer,
+    StaleResponse,
     /// The connection could not be opened.
     ConnectFailed,
     /// The connection was lost while it carried a read.
     ReadLost,
     /// The connection was lost while it carried an idempotent write.
-    IdempotentLost,
+    IdempotentWriteLost,
     /// The group proved that the write whose answer was lost did not run.
-    ProvedAbsent,
+    NotExecuted,
 }
 
 impl RetryReason {
     /// Every reason.
     pub const ALL: &[Self] = &[
         Self::NotPrimary,
-        Self::StaleAnswer,
+        Self::StaleResponse,
         Self::ConnectFailed,
         Self::ReadLost,
-        Self::IdempotentLost,
-        Self::ProvedAbsent,
+        Self::IdempotentWriteLost,
+        Self::NotExecuted,
     ];
 
     /// Returns the label used in metrics and logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::NotPrimary => "not_primary",
-            Self::StaleAnswer => "stale_answer",
+            Self::StaleResponse => "stale_answer",
             Self::ConnectFailed => "connect_failed",
             Self::ReadLost => "read_lost",
-            Self::IdempotentLost => "idempotent_lost",
-            Self::ProvedAbsent => "proved_absent",
+            Self::IdempotentWriteLost => "idempotent_lost",
+            Self::NotExecuted => "proved_absent",
         }
     }
 }
 
 /// Reads answered, by the kind of member that served them.
 #[derive(Debug, Default)]
-pub struct ReadTally {
+pub struct ReadCounts {
     /// Reads served by replicas.
     pub replica: AtomicU64,
     /// Reads served by the primary.
@@ -60,7 +60,7 @@
 /// Counters of one instance.
 pub struct InstanceCounters {
     /// Reads answered so far, for experiments in the same process.
-    pub reads: ReadTally,
+    pub reads: ReadCounts,
     replica_reads: Counter,
     primary_reads: Counter,
     /// Requests answered.
@@ -84,7 +84,7 @@
             (*reason, counter)
         };
         Self {
-            reads: ReadTally::default(),
+            reads: ReadCounts::default(),
             replica_reads: counter!(meter::READS, "instance" => name.clone(), "by" => "replica"),
             primary_reads: counter!(meter::READS, "instance" => name.clone(), "by" => "primary"),
             requests: counter!(meter::REQUESTS, "instance" => name.clone()),
@@ -94,7 +94,7 @@
     }
 
     /// Counts a read.
-    pub fn read(&self, by_replica: bool) {
+    pub fn count_read(&self, by_replica: bool) {
         let (counter, tally) = if by_replica {
             (&self.replica_reads, &self.reads.replica)
         } else {
@@ -105,14 +105,14 @@
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, reason: RefusalReason) {
+    pub fn count_refusal(&self, reason: RefusalReason) {
         if let Some(counter) = self.refusals.get(&reason) {
             counter.increment(1);
         }
     }
 
     /// Counts a retry.
-    pub fn retried(&self, reason: RetryReason) {
+    pub fn count_retry(&self, reason: RetryReason) {
         if let Some(counter) = self.retries.get(&reason) {
             counter.increment(1);
         }
--- a/crates/proxy/src/database.rs
+++ b/crates/proxy/src/database.rs
@@ -21,7 +21,7 @@
 
 /// What this instance last learned of a member.
 #[derive(Clone, Copy, Debug)]
-pub struct MemberRecord {
+pub struct MemberState {
     /// Last status, or none before the first answer.
     pub status: Option<MemberStatus>,
     /// Tells that the member answers this instance.
@@ -42,7 +42,7 @@
     /// Pool of connections for callers' statements.
     pub pool: MemberPool,
     control: MemberTarget,
-    record: Mutex<MemberRecord>,
+    record: Mutex<MemberState>,
 }
 
 impl MemberHandle {
@@ -52,7 +52,7 @@
     }
 
     /// Returns what was last learned of the member.
-    pub fn record(&self) -> MemberRecord {
+    pub fn last_state(&self) -> MemberState {
         *self.record.lock()
     }
 }
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct DatabaseHandle {
     /// Key in the catalog.
-    pub key: DatabaseId,
+    pub id: DatabaseId,
     /// Name of the database.
     pub name: Arc<str>,
     /// Members in the order of the document.
@@ -73,7 +73,7 @@
 impl DatabaseHandle {
     /// Creates the handle of a declared database; members without an address are left out.
     pub fn new(
-        key: DatabaseId,
+        id: DatabaseId,
         entry: &DatabaseEntry,
         settings: &ProxySettings,
         capacity: usize,
@@ -85,14 +85,14 @@
             .collect();
         let freshness = Mutex::new(FreshnessTracker::new(members.len()));
         let changed = watch::Sender::new(0);
-        Self { key, name: entry.name.clone(), members, freshness, changed }
+        Self { id, name: entry.name.clone(), members, freshness, changed }
     }
 
     /// Returns the members as routing sees them.
     pub fn views(&self) -> Vec<MemberView> {
         let freshness = self.freshness.lock();
         let view = |(index, member): (usize, &MemberHandle)| {
-            let record = member.record();
+            let record = member.last_state();
             MemberView {
                 position: record.status.map_or(UNKNOWN_POSITION, |status| status.position),
                 reachable: record.reachable,
@@ -123,7 +123,7 @@
     pub fn primary(&self) -> Option<(usize, u64)> {
         match self.route_write() {
             RouteTarget::Primary(index) => {
-                let status = self.members[index].record().status?;
+                let status = self.members[index].last_state().status?;
                 Some((index, status.position.term))
             }
             _ => None,
@@ -136,14 +136,14 @@
     }
 
     /// Waits until another member is the primary, or the same one in another term.
-    pub async fn replaced(&self, primary: usize, term: u64) {
+    pub async fn wait_until_replaced(&self, primary: usize, term: u64) {
         let replaced = || self.primary().is_some_and(|current| current != (primary, term));
         self.wait_until(replaced).await;
     }
 
     /// Waits until a member no longer answers this instance.
-    pub async fn lost(&self, index: usize) {
-        self.wait_until(|| !self.members[index].record().reachable).await;
+    pub async fn wait_until_unreachable(&self, index: usize) {
+        self.wait_until(|| !self.members[index].last_state().reachable).await;
     }
 
     async fn wait_until(&self, holds: impl Fn() -> bool) {
@@ -165,7 +165,7 @@
         let previous = {
             let mut record = self.members[index].record.lock();
             let previous = *record;
-            *record = MemberRecord { status: Some(status), reachable: true, answered_at: now };
+            *record = MemberState { status: Some(status), reachable: true, answered_at: now };
             previous
         };
         self.freshness.lock().record_member(index, &status.position);
@@ -260,7 +260,7 @@
         near: address.zone == settings.zone,
         pool: MemberPool::new(target, capacity),
         control,
-        record: Mutex::new(MemberRecord {
+        record: Mutex::new(MemberState {
             status: None,
             reachable: false,
             answered_at: Instant::now(),
--- a/crates/proxy/src/document.rs
+++ b/crates/proxy/src/document.rs
@@ -130,7 +130,7 @@
         }
     };
     let (revision, digest) = (head.revision, head.digest.clone());
-    if instance.put_in_force(StoredDocument { head, text }, &document) {
+    if instance.apply_document(StoredDocument { head, text }, &document) {
         log_event!(LogEvent::DocumentInForce, "revision={revision} digest={digest}");
         announce(instance, revision);
     }
@@ -139,7 +139,7 @@
 fn announce(instance: &Arc<ProxyInstance>, revision: u64) {
     let announcement = Announcement {
         revision,
-        epoch: instance.book.epoch(),
+        epoch: instance.ledger.epoch(),
         source: instance.peer_address().to_string(),
     };
     for peer in instance.peers.all() {
--- a/crates/proxy/src/drain.rs
+++ b/crates/proxy/src/drain.rs
@@ -8,7 +8,7 @@
 use telemetry::log_event;
 use tokio::time::{Instant, sleep};
 
-use crate::beat;
+use crate::heartbeat;
 use crate::instance::{InstancePhase, ProxyInstance};
 
 /// Time that a peer has to take over the shares.
@@ -46,13 +46,13 @@
         return;
     };
     let catalog = instance.catalog();
-    instance.book.give_everything(&instance.limiter, &catalog, taker, now);
+    instance.ledger.give_everything(&instance.limiter, &catalog, taker, now);
     let end = Instant::now() + HAND_BACK_TIME;
-    while !instance.book.is_settled(&[taker]) && Instant::now() < end {
+    while !instance.ledger.is_settled(&[taker]) && Instant::now() < end {
         sleep(COUNT_INTERVAL).await;
     }
     // One more heartbeat tells every peer that nothing is held here.
-    sleep(beat::BEAT_INTERVAL * 2).await;
+    sleep(heartbeat::BEAT_INTERVAL * 2).await;
 }
 
 async fn wait_for_callers(instance: &ProxyInstance, limit: Duration) {
--- a/crates/proxy/src/steward.rs
+++ b/crates/proxy/src/failover.rs
@@ -74,7 +74,7 @@
         let subject = &self.database.name;
         self.machine.set_rank(rendezvous::rank(subject, own, names.iter().map(String::as_str)));
         for index in 0..self.database.members.len() {
-            let record = self.database.members[index].record();
+            let record = self.database.members[index].last_state();
             if !record.reachable {
                 self.handle(FailoverEvent::Unreachable(index));
             } else if self.told[index] != Some(record.answered_at) {
@@ -198,13 +198,10 @@
             let replies = words.join_all().await.into_iter().flatten().flatten();
             let known: Vec<_> =
                 replies.map(tonic::Response::into_inner).filter(|reply| reply.known).collect();
-            let in_favour = known.iter().filter(|reply| reply.reachable).count();
-            let against = known.len() - in_favour;
-            let event = FailoverEvent::ProbedIndirectly {
-                member,
-                unreachable_zones: against,
-                reachable_zones: in_favour,
-            };
+            let reachable_zones = known.iter().filter(|reply| reply.reachable).count();
+            let unreachable_zones = known.len() - reachable_zones;
+            let event =
+                FailoverEvent::ProbedIndirectly { member, unreachable_zones, reachable_zones };
             let _ = sender.send(event).await;
         });
     }
--- a/crates/proxy/src/beat.rs
+++ b/crates/proxy/src/heartbeat.rs
@@ -15,9 +15,9 @@
 use tonic::Status;
 use wire::peer::{BeatReply, BeatRequest, InstanceSummary, TeamShare};
 
-use crate::allotment::LimitedTeam;
 use crate::document;
 use crate::instance::{InstancePhase, ProxyInstance};
+use crate::ledger::LimitedTeam;
 use crate::peers::{PeerEntry, PeerShare};
 
 /// Interval between two heartbeats to a peer.
@@ -53,7 +53,7 @@
     loop {
         ticks.tick().await;
         let catalog = instance.catalog();
-        instance.book.measure(&catalog, &instance.limiter, instance.now());
+        instance.ledger.measure(&catalog, &instance.limiter, instance.now());
         round(&instance).await;
     }
 }
@@ -85,7 +85,7 @@
 
 /// Tells whether document and epoch are proved and no peer that answers is in another epoch.
 fn knows_enough(instance: &ProxyInstance, now: Instant) -> bool {
-    let epoch = instance.book.epoch();
+    let epoch = instance.ledger.epoch();
     let fresh = |at: Instant| now.saturating_duration_since(at) < 3 * BEAT_INTERVAL;
     let agrees = |peer: &PeerEntry| {
         let answers = peer.answered_at.is_some_and(fresh);
@@ -101,7 +101,7 @@
     let asked_at = instance.now();
     let request = BeatRequest {
         summary: Some(summary(instance)),
-        shares: instance.book.shares_for(&instance.catalog(), peer.incarnation()),
+        shares: instance.ledger.shares_for(&instance.catalog(), peer.incarnation()),
         receiver: peer.incarnation().unwrap_or_default(),
     };
     counter!(meter::PEER_MESSAGES, "kind" => "beat").increment(1);
@@ -157,7 +157,7 @@
     }
     Ok(BeatReply {
         summary: Some(summary(instance)),
-        shares: instance.book.shares_for(&instance.catalog(), Some(incarnation)),
+        shares: instance.ledger.shares_for(&instance.catalog(), Some(incarnation)),
         receiver: incarnation,
     })
 }
@@ -217,11 +217,11 @@
         if !addressed {
             continue;
         }
-        instance.book.acknowledge(key, incarnation, epoch, share.taken_share);
+        instance.ledger.acknowledge(key, incarnation, epoch, share.taken_share);
         if share.given_share > 0 {
             let totals = TransferTotals { share: share.given_share, tokens: share.given_tokens };
             let team = LimitedTeam { limiter: &instance.limiter, key, entry };
-            instance.book.take(team, incarnation, epoch, totals, now);
+            instance.ledger.take(team, incarnation, epoch, totals, now);
         }
     }
     instance.peers.record_shares(giver.name, held);
@@ -231,7 +231,7 @@
 pub fn summary(instance: &ProxyInstance) -> InstanceSummary {
     let now = instance.now();
     let millis = |age: Duration| age.as_millis() as u64 + 1;
-    let epoch = instance.book.epoch();
+    let epoch = instance.ledger.epoch();
     let (revision_age, epoch_age, store_down) = instance.update_proofs(|proofs| {
         let document = &proofs.document;
         // A provisional epoch has no proof of its own yet.
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -22,14 +22,16 @@
 use tokio::task::JoinSet;
 use wire::statement::StatementCache;
 
-use crate::allotment::AllotmentBook;
 use crate::cancel::CancelRegistry;
 use crate::counters::InstanceCounters;
 use crate::database::DatabaseHandle;
+use crate::ledger::InstanceLedger;
 use crate::limiter::TeamLimiter;
 use crate::peers::PeerDirectory;
 use crate::settings::ProxySettings;
-use crate::{beat, census, document, listener, service, share, steward, watcher};
+use crate::{
+    document, failover, heartbeat, listener, monitor, peer_service, reconciliation, share_transfer,
+};
 
 /// Time that an operation on the platform's services may take.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
@@ -105,11 +107,11 @@
     /// This instance's part of the teams' limits.
     pub limiter: TeamLimiter,
     /// Ledger of this instance's shares.
-    pub book: AllotmentBook,
+    pub ledger: InstanceLedger,
     /// Other instances.
     pub peers: PeerDirectory,
     /// Sessions by process number.
-    pub cancels: Arc<CancelRegistry>,
+    pub cancel_registry: Arc<CancelRegistry>,
     /// Counters of the instance.
     pub counters: InstanceCounters,
     /// Callers connected now.
@@ -147,9 +149,9 @@
             statements: StatementCache::default(),
             tokens: TokenCodec::new(settings.token_secret.as_bytes()),
             limiter: TeamLimiter::default(),
-            book: AllotmentBook::default(),
+            ledger: InstanceLedger::default(),
             peers: PeerDirectory::default(),
-            cancels: Arc::default(),
+            cancel_registry: Arc::default(),
             counters: InstanceCounters::new(&settings.instance),
             callers: AtomicUsize::new(0),
             catalog: RwLock::default(),
@@ -200,7 +202,7 @@
     }
 
     /// Puts a document into force if its revision is higher than the one in force.
-    pub fn put_in_force(self: &Arc<Self>, stored: StoredDocument, document: &Document) -> bool {
+    pub fn apply_document(self: &Arc<Self>, stored: StoredDocument, document: &Document) -> bool {
         let revision = stored.head.revision;
         let mut catalog = self.catalog.write();
         if revision <= catalog.revision() {
@@ -208,7 +210,7 @@
         }
         let next = Arc::new(catalog.updated(revision, document));
         self.replace_databases(&next);
-        self.book.apply_catalog(&catalog, &next, &self.limiter, self.clock.now());
+        self.ledger.apply_catalog(&catalog, &next, &self.limiter, self.clock.now());
         *catalog = next;
         *self.document.write() = Some(Arc::new(stored));
         self.revision.store(revision, Ordering::Release);
@@ -333,8 +335,8 @@
                 _ => {
                     let handle = DatabaseHandle::new(key, entry, &self.settings, capacity);
                     let handle = Arc::new(handle);
-                    let mut tasks = watcher::watch(&handle);
-                    tasks.spawn(steward::run(self.clone(), handle.clone()));
+                    let mut tasks = monitor::watch(&handle);
+                    tasks.spawn(failover::run(self.clone(), handle.clone()));
                     databases.insert(key, WatchedDatabase { handle, _tasks: tasks });
                 }
             }
@@ -356,7 +358,7 @@
     }
 
     /// Returns a label that no other transaction carries.
-    pub fn next_label(&self) -> String {
+    pub fn next_transaction_label(&self) -> String {
         let number = self.labels.fetch_add(1, Ordering::Relaxed);
         format!("{:016x}-{number:x}", self.incarnation)
     }
@@ -411,12 +413,12 @@
     let peer_address = peers.local_addr().context(ListenSnafu { address: peer_address })?;
     let instance = ProxyInstance::create(settings, clock, peer_address)?;
     let mut tasks = JoinSet::new();
-    tasks.spawn(service::serve(peers, instance.clone()));
-    tasks.spawn(beat::follow_list(instance.clone()));
-    tasks.spawn(beat::run(instance.clone()));
+    tasks.spawn(peer_service::serve(peers, instance.clone()));
+    tasks.spawn(heartbeat::follow_list(instance.clone()));
+    tasks.spawn(heartbeat::run(instance.clone()));
     tasks.spawn(document::follow(instance.clone()));
-    tasks.spawn(census::run(instance.clone()));
-    tasks.spawn(share::run(instance.clone()));
+    tasks.spawn(reconciliation::run(instance.clone()));
+    tasks.spawn(share_transfer::run(instance.clone()));
     tasks.spawn(listener::serve(callers, instance.clone()));
     Ok(RunningInstance { instance, address, peer_address, _tasks: tasks })
 }
--- a/crates/proxy/src/allotment.rs
+++ b/crates/proxy/src/ledger.rs
@@ -63,7 +63,7 @@
 
 /// Ledger of this instance and the buckets that follow it.
 #[derive(Default)]
-pub struct AllotmentBook {
+pub struct InstanceLedger {
     ledger: Mutex<ShareLedger>,
     measured_at: Mutex<Option<Instant>>,
     shortage: Notify,
@@ -79,7 +79,7 @@
     names: HashSet<Arc<str>>,
 }
 
-impl AllotmentBook {
+impl InstanceLedger {
     /// Returns the epoch of the shares.
     pub fn epoch(&self) -> u64 {
         self.ledger.lock().epoch()
@@ -120,7 +120,7 @@
     }
 
     /// Notes that a team had no token, and wakes the task that asks for more.
-    pub fn note_shortage(&self, team: TeamId) {
+    pub fn record_shortage(&self, team: TeamId) {
         self.short_teams.lock().insert(team, ());
         self.shortage.notify_one();
     }
@@ -133,7 +133,7 @@
     }
 
     /// Waits until a share arrived or the time is over.
-    pub async fn wait_for_arrival(&self, limit: Duration) {
+    pub async fn wait_for_grant(&self, limit: Duration) {
         let _ = tokio::time::timeout(limit, self.arrived.notified()).await;
     }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,23 +1,23 @@
 //! Proxy instance: callers' sessions, routing to members and its part of the coordination.
 
-pub mod allotment;
-pub mod beat;
 pub mod cancel;
-pub mod census;
 pub mod counters;
 pub mod database;
 pub mod document;
 pub mod drain;
 pub mod exposition;
+pub mod failover;
+pub mod heartbeat;
 pub mod instance;
+pub mod ledger;
 pub mod limiter;
 pub mod listener;
+pub mod monitor;
 pub mod parameter;
+pub mod peer_service;
 pub mod peers;
-pub mod service;
+pub mod reconciliation;
 pub mod session;
 pub mod settings;
-pub mod share;
+pub mod share_transfer;
 pub mod startup;
-pub mod steward;
-pub mod watcher;
--- a/crates/proxy/src/limiter.rs
+++ b/crates/proxy/src/limiter.rs
@@ -47,7 +47,12 @@
     }
 
     /// Takes tokens for a request whose demand was counted by an earlier try.
-    pub fn retake(&self, team: TeamId, cost: f64, now: Instant) -> Result<(), InsufficientTokens> {
+    pub fn retry_take(
+        &self,
+        team: TeamId,
+        cost: f64,
+        now: Instant,
+    ) -> Result<(), InsufficientTokens> {
         let taken = self.take(team, cost, now);
         if let Some(metered) = self.shard(team).lock().get_mut(team) {
             metered.asked -= cost;
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/peer_service.rs
@@ -16,7 +16,7 @@
 
 use crate::database::DatabaseHandle;
 use crate::instance::{InstancePhase, ProxyInstance};
-use crate::{beat, census, document, share};
+use crate::{document, heartbeat, reconciliation, share_transfer};
 
 /// Questions answered at once.
 const MAX_QUESTIONS: usize = 512;
@@ -43,7 +43,7 @@
 #[tonic::async_trait]
 impl Peer for PeerService {
     async fn beat(&self, request: Request<BeatRequest>) -> Result<Response<BeatReply>, Status> {
-        beat::answer(&self.instance, request.into_inner()).map(Response::new)
+        heartbeat::answer(&self.instance, request.into_inner()).map(Response::new)
     }
 
     async fn fetch_document(
@@ -91,7 +91,7 @@
         Ok(Response::new(WitnessReply {
             zone: self.instance.settings.zone.clone(),
             known: member.is_some(),
-            reachable: member.is_some_and(|member| member.record().reachable),
+            reachable: member.is_some_and(|member| member.last_state().reachable),
         }))
     }
 
@@ -99,14 +99,14 @@
         &self,
         request: Request<ShareRequest>,
     ) -> Result<Response<ShareReply>, Status> {
-        Ok(Response::new(share::answer(&self.instance, &request.into_inner())))
+        Ok(Response::new(share_transfer::answer(&self.instance, &request.into_inner())))
     }
 
     async fn census(
         &self,
         request: Request<CensusRequest>,
     ) -> Result<Response<CensusReply>, Status> {
-        Ok(Response::new(census::answer(&self.instance, request.into_inner())))
+        Ok(Response::new(reconciliation::answer(&self.instance, request.into_inner())))
     }
 
     async fn report(&self, _: Request<ReportRequest>) -> Result<Response<ReportReply>, Status> {
@@ -116,14 +116,14 @@
 
 fn report(instance: &ProxyInstance) -> ReportReply {
     let catalog = instance.catalog();
-    let shares = instance.book.shares(&catalog);
+    let shares = instance.ledger.shares(&catalog);
     let held = |(key, share): (_, u64)| {
         let team = catalog.team(key)?;
         Some(HeldShare { team: team.name.to_string(), share })
     };
     let databases = instance.databases();
     ReportReply {
-        summary: Some(beat::summary(instance)),
+        summary: Some(heartbeat::summary(instance)),
         callers: instance.callers.load(std::sync::atomic::Ordering::Relaxed) as u64,
         phase: phase_label(instance.phase()).to_owned(),
         members: databases.iter().flat_map(|database| members(instance, database)).collect(),
@@ -134,7 +134,7 @@
 fn members(instance: &ProxyInstance, database: &DatabaseHandle) -> Vec<MemberReport> {
     let now = instance.now();
     let report = |(index, member): (usize, &crate::database::MemberHandle)| {
-        let record = member.record();
+        let record = member.last_state();
         let position = record.status.map(|status| status.position);
         MemberReport {
             database: database.name.to_string(),
--- a/crates/proxy/src/census.rs
+++ b/crates/proxy/src/reconciliation.rs
@@ -14,8 +14,8 @@
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 use wire::peer::{CensusReply, CensusRequest};
 
-use crate::allotment::LimitedTeam;
 use crate::instance::{InstancePhase, ProxyInstance};
+use crate::ledger::LimitedTeam;
 use crate::peers::PeerEntry;
 
 /// Interval at which the holders of shares are looked over.
@@ -45,7 +45,7 @@
     loop {
         ticks.tick().await;
         forfeit_outdated(&instance);
-        instance.book.issue_new_teams(&instance.catalog(), &instance.limiter, instance.now());
+        instance.ledger.issue_new_teams(&instance.catalog(), &instance.limiter, instance.now());
         if watch.is_census_due(&instance) {
             watch.wanted_since = None;
             conduct(&instance).await;
@@ -60,13 +60,13 @@
     // While the table service is down, peers tell a new instance of the epoch.
     let told = instance.peers.all().into_iter().filter_map(|peer| Some(peer.summary?.epoch)).max();
     let current = stored.max(told.unwrap_or_default());
-    let epoch = instance.book.epoch();
+    let epoch = instance.ledger.epoch();
     let joins = epoch == 0 && current > 0;
-    let behind = current > epoch || instance.book.is_provisional();
+    let behind = current > epoch || instance.ledger.is_provisional();
     let current = current.max(epoch);
     if joins || (behind && !instance.is_epoch_valid(now)) {
         let catalog = instance.catalog();
-        instance.book.forfeit_epoch(current, &catalog, &instance.limiter, now);
+        instance.ledger.forfeit_epoch(current, &catalog, &instance.limiter, now);
         instance.update_proofs(|proofs| proofs.epoch.adopt(current));
     }
 }
@@ -94,7 +94,7 @@
     }
 
     fn note_holders(&mut self, instance: &ProxyInstance, now: Instant) {
-        let epoch = instance.book.epoch();
+        let epoch = instance.ledger.epoch();
         if epoch != self.epoch {
             self.epoch = epoch;
             self.seen.clear();
@@ -124,7 +124,7 @@
 /// Starts the next epoch, counts the shares and issues what nobody reports.
 async fn conduct(instance: &Arc<ProxyInstance>) {
     let (current, row) = instance.known_epoch();
-    if instance.book.epoch() > current {
+    if instance.ledger.epoch() > current {
         // The table service has not been read since the last epoch began.
         return;
     }
@@ -136,10 +136,10 @@
     let started_at = instance.now();
     instance.request_poll();
     let catalog = instance.catalog();
-    let Some(own) = instance.book.enter_epoch(epoch.number, &catalog) else {
+    let Some(own) = instance.ledger.enter_epoch(epoch.number, &catalog) else {
         return;
     };
-    instance.book.confirm_epoch(epoch.number);
+    instance.ledger.confirm_epoch(epoch.number);
     instance.update_proofs(|proofs| {
         proofs.epoch.adopt(epoch.number);
         proofs.epoch.record_store_version(started_at, epoch.number);
@@ -154,7 +154,7 @@
     let replies = question_peers(instance, epoch.number, started_at).await;
     let holders = replies.len() + 1;
     replies.into_values().for_each(add);
-    if !instance.book.claim_issue(epoch.number) {
+    if !instance.ledger.claim_issue(epoch.number) {
         return;
     }
     let now = instance.now();
@@ -164,7 +164,7 @@
         // Nothing was admitted before the first epoch, so its buckets may start full.
         let tokens = if epoch.number == 1 { entry.burst } else { 0.0 };
         let team = LimitedTeam { limiter: &instance.limiter, key, entry };
-        instance.book.issue(team, missing, tokens, now);
+        instance.ledger.issue(team, missing, tokens, now);
     }
     log_event!(LogEvent::LedgerReconciled, "epoch={} holders={holders}", epoch.number);
 }
@@ -209,10 +209,10 @@
 pub fn answer(instance: &ProxyInstance, request: CensusRequest) -> CensusReply {
     let catalog = instance.catalog();
     let incarnation = instance.incarnation();
-    match instance.book.enter_epoch(request.epoch, &catalog) {
+    match instance.ledger.enter_epoch(request.epoch, &catalog) {
         Some(shares) => {
             let counted = request.counted == incarnation;
-            if counted && instance.book.confirm_epoch(request.epoch) {
+            if counted && instance.ledger.confirm_epoch(request.epoch) {
                 instance.update_proofs(|proofs| proofs.epoch.adopt(request.epoch));
             }
             CensusReply { incarnation, entered: true, shares }
--- a/crates/proxy/src/session/admit.rs
+++ b/crates/proxy/src/session/admit.rs
@@ -11,7 +11,7 @@
 use super::request::CallerRequest;
 use super::{CallerSession, SessionEnd};
 use crate::instance::InstancePhase;
-use crate::share;
+use crate::share_transfer;
 
 /// Time for which a request waits for a share that another instance is expected to give.
 const SHARE_PATIENCE: Duration = Duration::from_millis(100);
@@ -54,8 +54,8 @@
         if self.key.is_some_and(|key| !team.keys.contains(&key)) {
             return end(RefusalReason::KeyRevoked, "the key was withdrawn");
         }
-        let found = catalog.database(self.database.key);
-        let handle = self.instance.database(self.database.key);
+        let found = catalog.database(self.database.id);
+        let handle = self.instance.database(self.database.id);
         let (Some(entry), Some(handle)) = (found, handle) else {
             return end(RefusalReason::UnknownDatabase, "the database is no longer declared");
         };
@@ -132,12 +132,12 @@
             let Err(delay) = taken else {
                 return Ok(());
             };
-            instance.book.note_shortage(self.team);
+            instance.ledger.record_shortage(self.team);
             let now = instance.now();
-            let hopes =
-                now < asked_at + SHARE_PATIENCE && share::is_gift_expected(&instance, self.team);
+            let hopes = now < asked_at + SHARE_PATIENCE
+                && share_transfer::is_grant_expected(&instance, self.team);
             if hopes {
-                instance.book.wait_for_arrival(SHARE_POLL).await;
+                instance.ledger.wait_for_grant(SHARE_POLL).await;
             } else if self.pinned.is_some() && now + delay.retry_after <= deadline {
                 tokio::time::sleep(delay.retry_after).await;
             } else {
@@ -145,7 +145,7 @@
                 let refusal = RequestRefusal::new(RefusalReason::RateExceeded, detail);
                 return Err(refusal.with_retry_after(delay.retry_after));
             }
-            taken = instance.limiter.retake(self.team, cost, instance.now());
+            taken = instance.limiter.retry_take(self.team, cost, instance.now());
         }
     }
 }
--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -147,7 +147,7 @@
         let commits = request.may_commit(self.block != TransactionState::Idle)
             && self.block != TransactionState::Failed;
         let plan = ExchangePlan {
-            label: commits.then(|| self.instance.next_label()),
+            label: commits.then(|| self.instance.next_transaction_label()),
             confirm: commits,
             in_transaction: true,
             ..ExchangePlan::default()
@@ -225,9 +225,9 @@
                 AttemptEnd::Refused(refusal) => return Ok(Err(refusal)),
                 AttemptEnd::Retry(reason) => reason,
             };
-            self.instance.counters.retried(reason);
+            self.instance.counters.count_retry(reason);
             log_event!(LogEvent::RequestRetried, "reason={}", reason.label());
-            primary_only |= reason == RetryReason::StaleAnswer;
+            primary_only |= reason == RetryReason::StaleResponse;
             if self.instance.now() + backoff >= terms.deadline {
                 break;
             }
@@ -268,7 +268,7 @@
                 self.database.route_write()
             };
             if let RouteTarget::Primary(member) = target {
-                let status = self.database.members[member].record().status;
+                let status = self.database.members[member].last_state().status;
                 let term = status.map(|status| status.position.term);
                 return Ok(AttemptTarget { member, term, floor: seen });
             }
@@ -294,7 +294,7 @@
         let is_write = request.class.kind == StatementKind::Write;
         let plan = ExchangePlan {
             barrier: target.term.is_some() && target.floor.is_none() && !is_write,
-            label: commits.then(|| self.instance.next_label()),
+            label: commits.then(|| self.instance.next_transaction_label()),
             confirm: commits && request.synced,
             floor: target.floor,
             on_replica: target.term.is_none(),
@@ -313,7 +313,7 @@
             ExchangeEnd::NotRun => Ok(AttemptEnd::Retry(RetryReason::NotPrimary)),
             ExchangeEnd::Stale => {
                 log_event!(LogEvent::AnswerStale, "database={}", self.entry.name);
-                Ok(AttemptEnd::Retry(RetryReason::StaleAnswer))
+                Ok(AttemptEnd::Retry(RetryReason::StaleResponse))
             }
             ExchangeEnd::Lost(error) => {
                 log_event!(LogEvent::ExchangeLost, "database={}: {error}", self.entry.name);
@@ -352,11 +352,11 @@
             }
             SettledOutcome::Absent => {
                 self.output.clear();
-                AttemptEnd::Retry(RetryReason::ProvedAbsent)
+                AttemptEnd::Retry(RetryReason::NotExecuted)
             }
             _ if terms.idempotent() => {
                 self.output.clear();
-                AttemptEnd::Retry(RetryReason::IdempotentLost)
+                AttemptEnd::Retry(RetryReason::IdempotentWriteLost)
             }
             _ => {
                 self.output.clear();
@@ -397,7 +397,7 @@
 
     async fn replaced(&self, target: &AttemptTarget) {
         match target.term {
-            Some(term) => self.database.replaced(target.member, term).await,
+            Some(term) => self.database.wait_until_replaced(target.member, term).await,
             None => std::future::pending().await,
         }
     }
@@ -427,8 +427,8 @@
         let database = self.database.clone();
         let given_up = async {
             match term {
-                _ if plan.on_replica => database.lost(member).await,
-                Some(term) => database.replaced(member, term).await,
+                _ if plan.on_replica => database.wait_until_unreachable(member).await,
+                Some(term) => database.wait_until_replaced(member, term).await,
                 None => std::future::pending().await,
             }
         };
@@ -481,7 +481,7 @@
 
     fn count_read(&self, request: &CallerRequest, target: &AttemptTarget) {
         if request.class.kind == StatementKind::Read {
-            self.instance.counters.read(target.term.is_none());
+            self.instance.counters.count_read(target.term.is_none());
         }
     }
 }
--- a/crates/proxy/src/share.rs
+++ b/crates/proxy/src/share_transfer.rs
@@ -10,8 +10,8 @@
 use tokio::time::sleep;
 use wire::peer::{ShareReply, ShareRequest};
 
-use crate::allotment::LimitedTeam;
 use crate::instance::ProxyInstance;
+use crate::ledger::LimitedTeam;
 use crate::peers::{PeerEntry, PeerShare};
 
 /// Peers asked in one round for one team.
@@ -22,7 +22,7 @@
 /// Asks for more whenever a team is short on this instance.
 pub async fn run(instance: Arc<ProxyInstance>) {
     loop {
-        for team in instance.book.wait_for_shortage().await {
+        for team in instance.ledger.wait_for_shortage().await {
             ask_for(&instance, team).await;
         }
         sleep(ASK_PAUSE).await;
@@ -30,8 +30,8 @@
 }
 
 /// Tells whether some peer is expected to part with a share of the team.
-pub fn is_gift_expected(instance: &ProxyInstance, team: TeamId) -> bool {
-    let (share, _) = instance.book.ask_terms(team);
+pub fn is_grant_expected(instance: &ProxyInstance, team: TeamId) -> bool {
+    let (share, _) = instance.ledger.ask_terms(team);
     // Without a share of its own an instance asks whoever is there, heard of or not.
     (share == 0 && !instance.peers.is_empty())
         || instance.peers.any(|peer| expected_gift(instance, peer, team) > 0)
@@ -42,15 +42,15 @@
         return 0;
     };
     let same_epoch =
-        peer.summary.as_ref().is_some_and(|summary| summary.epoch == instance.book.epoch());
+        peer.summary.as_ref().is_some_and(|summary| summary.epoch == instance.ledger.epoch());
     if !same_epoch {
         return 0;
     }
-    instance.book.expected_gift(team, held.share, held.demand)
+    instance.ledger.expected_gift(team, held.share, held.demand)
 }
 
 async fn ask_for(instance: &Arc<ProxyInstance>, team: TeamId) {
-    let (share, _) = instance.book.ask_terms(team);
+    let (share, _) = instance.ledger.ask_terms(team);
     let mut peers: Vec<(u64, PeerEntry)> = instance
         .peers
         .all()
@@ -69,10 +69,10 @@
     let Some(entry) = catalog.team(team) else {
         return;
     };
-    let (share, demand) = instance.book.ask_terms(team);
+    let (share, demand) = instance.ledger.ask_terms(team);
     let request = ShareRequest {
         incarnation: instance.incarnation(),
-        epoch: instance.book.epoch(),
+        epoch: instance.ledger.epoch(),
         team: entry.name.to_string(),
         share,
         demand,
@@ -87,12 +87,12 @@
     let totals = TransferTotals { share: reply.given_share, tokens: reply.given_tokens };
     let (giver, epoch) = (reply.incarnation, reply.epoch);
     let team = LimitedTeam { limiter: &instance.limiter, key: team, entry };
-    instance.book.take(team, giver, epoch, totals, instance.now());
+    instance.ledger.take(team, giver, epoch, totals, instance.now());
 }
 
 /// Answers a peer that asks for a part of a team's allotment.
 pub fn answer(instance: &ProxyInstance, request: &ShareRequest) -> ShareReply {
-    let epoch = instance.book.epoch();
+    let epoch = instance.ledger.epoch();
     let mut reply =
         ShareReply { incarnation: instance.incarnation(), epoch, ..ShareReply::default() };
     let now = instance.now();
@@ -106,9 +106,9 @@
     };
     let team = LimitedTeam { limiter: &instance.limiter, key, entry };
     let (share, demand) = (request.share, request.demand);
-    let totals = instance.book.give(team, request.incarnation, share, demand, now);
+    let totals = instance.ledger.give(team, request.incarnation, share, demand, now);
     reply.given_share = totals.share;
     reply.given_tokens = totals.tokens;
-    (reply.left_share, reply.demand) = instance.book.holding(key);
+    (reply.left_share, reply.demand) = instance.ledger.holding(key);
     reply
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -93,7 +93,7 @@
     let identity = authenticate(socket, instance, &startup).await?;
     let mut parameters = SessionParameters::default();
     let positions = read_options(instance, &startup, &mut parameters)?;
-    let registration = instance.cancels.register();
+    let registration = instance.cancel_registry.register();
     let mut output = BytesMut::new();
     backend::put(&mut output, PgWireBackendMessage::Authentication(Authentication::Ok));
     for (name, value) in REPORTED {
@@ -131,7 +131,7 @@
             Some(PgWireFrontendMessage::SslNegotiation(_)) => socket.write(b"N").await?,
             Some(PgWireFrontendMessage::CancelRequest(cancel)) => {
                 if let Some(secret) = cancel.secret_key.as_i32() {
-                    instance.cancels.cancel(cancel.pid, secret).await;
+                    instance.cancel_registry.cancel(cancel.pid, secret).await;
                 }
                 return Err(StartupEnd::Done);
             }
