--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of an instance, resolved once so that a request does not look them up.
+//! Metric counters of an instance, registered once so that a request needs no lookup by label.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,20 +7,20 @@
 use telemetry::meter;
 use wire::refusal::RefusalReason;
 
-/// Why a request is tried again.
+/// Reason for retrying a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RetryReason {
-    /// The member said that it is not the primary.
+    /// The member responded that it is not the primary.
     NotPrimary,
-    /// The answer's position does not cover the session.
+    /// The position of the response is behind the session's.
     StaleResponse,
-    /// The connection could not be opened.
+    /// No connection to the member could be opened.
     ConnectFailed,
-    /// The connection was lost while it carried a read.
+    /// The connection was lost during a read.
     ReadLost,
-    /// The connection was lost while it carried an idempotent write.
+    /// The connection was lost during an idempotent write.
     IdempotentWriteLost,
-    /// The group proved that the write whose answer was lost did not run.
+    /// The outcome of a write was in doubt, and the group confirmed that it was not executed.
     NotExecuted,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Reads answered, by the kind of member that served them.
+/// Number of reads served, by the role of the member.
 #[derive(Debug, Default)]
 pub struct ReadCounts {
     /// Reads served by replicas.
@@ -57,20 +57,20 @@
     pub primary: AtomicU64,
 }
 
-/// Counters of one instance.
+/// Metric counters of one instance.
 pub struct InstanceCounters {
-    /// Reads answered so far, for experiments in the same process.
+    /// Reads served so far, for tests and load generators in the same process.
     pub reads: ReadCounts,
     replica_reads: Counter,
     primary_reads: Counter,
-    /// Requests answered.
+    /// Requests that passed the check of their API key.
     pub requests: Counter,
     refusals: HashMap<RefusalReason, Counter>,
     retries: HashMap<RetryReason, Counter>,
 }
 
 impl InstanceCounters {
-    /// Resolves the counters of the instance called `instance`.
+    /// Registers the counters with the label `instance`.
     pub fn new(instance: &str) -> Self {
         let name = instance.to_owned();
         let refusal = |reason: &RefusalReason| {
@@ -94,25 +94,25 @@
     }
 
     /// Counts a read.
-    pub fn count_read(&self, by_replica: bool) {
-        let (counter, tally) = if by_replica {
+    pub fn record_read(&self, by_replica: bool) {
+        let (counter, count) = if by_replica {
             (&self.replica_reads, &self.reads.replica)
         } else {
             (&self.primary_reads, &self.reads.primary)
         };
         counter.increment(1);
-        tally.fetch_add(1, Ordering::Relaxed);
+        count.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts a refusal.
-    pub fn count_refusal(&self, reason: RefusalReason) {
+    pub fn record_refusal(&self, reason: RefusalReason) {
         if let Some(counter) = self.refusals.get(&reason) {
             counter.increment(1);
         }
     }
 
     /// Counts a retry.
-    pub fn count_retry(&self, reason: RetryReason) {
+    pub fn record_retry(&self, reason: RetryReason) {
         if let Some(counter) = self.retries.get(&reason) {
             counter.increment(1);
         }
--- a/crates/proxy/src/database.rs
+++ b/crates/proxy/src/database.rs
@@ -1,4 +1,4 @@
-//! Databases as this instance sees them: members, pools, positions and age bounds.
+//! This instance's view of a database: members, connection pools, positions and staleness bounds.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,15 +19,15 @@
 /// User name of connections for group commands.
 pub const CONTROL_USER: &str = "hibiscus-control";
 
-/// What this instance last learned of a member.
+/// Last observed state of a member.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberState {
-    /// Last status, or none before the first answer.
+    /// Last status, or none before the first response.
     pub status: Option<MemberStatus>,
-    /// Tells that the member answers this instance.
+    /// Whether the member responds to this instance.
     pub reachable: bool,
-    /// When the member answered last.
-    pub answered_at: Instant,
+    /// Time of the member's last response.
+    pub last_response_at: Instant,
 }
 
 /// Member of a database.
@@ -37,12 +37,12 @@
     pub name: Arc<str>,
     /// Availability zone.
     pub zone: String,
-    /// Tells that the member stands in the instance's availability zone.
-    pub near: bool,
+    /// Whether the member is in the availability zone of this instance.
+    pub same_zone: bool,
     /// Pool of connections for callers' statements.
     pub pool: MemberPool,
     control: MemberTarget,
-    record: Mutex<MemberState>,
+    state: Mutex<MemberState>,
 }
 
 impl MemberHandle {
@@ -51,27 +51,28 @@
         MemberConnection::open(&self.control).await
     }
 
-    /// Returns what was last learned of the member.
+    /// Returns the last observed state of the member.
     pub fn last_state(&self) -> MemberState {
-        *self.record.lock()
+        *self.state.lock()
     }
 }
 
-/// Database of this instance.
+/// Database of the document in force, with its members.
 #[derive(Debug)]
 pub struct DatabaseHandle {
-    /// Key in the catalog.
+    /// Id in the catalog.
     pub id: DatabaseId,
     /// Name of the database.
     pub name: Arc<str>,
     /// Members in the order of the document.
     pub members: Vec<MemberHandle>,
     freshness: Mutex<FreshnessTracker>,
-    changed: watch::Sender<u64>,
+    change_count: watch::Sender<u64>,
 }
 
 impl DatabaseHandle {
-    /// Creates the handle of a declared database; members without an address are left out.
+    /// Creates the handle of a configured database, without members that have no address in the
+    /// settings.
     pub fn new(
         id: DatabaseId,
         entry: &DatabaseEntry,
@@ -85,38 +86,38 @@
             .collect();
         let freshness = Mutex::new(FreshnessTracker::new(members.len()));
         let changed = watch::Sender::new(0);
-        Self { id, name: entry.name.clone(), members, freshness, changed }
+        Self { id, name: entry.name.clone(), members, freshness, change_count: changed }
     }
 
-    /// Returns the members as routing sees them.
+    /// Returns the members' views on which routing decides.
     pub fn views(&self) -> Vec<MemberView> {
         let freshness = self.freshness.lock();
         let view = |(index, member): (usize, &MemberHandle)| {
-            let record = member.last_state();
+            let state = member.last_state();
             MemberView {
-                position: record.status.map_or(UNKNOWN_POSITION, |status| status.position),
-                reachable: record.reachable,
+                position: state.status.map_or(UNKNOWN_POSITION, |status| status.position),
+                reachable: state.reachable,
                 fresh_as_of: freshness.fresh_as_of(index),
                 load: member.pool.load(),
-                same_zone: member.near,
+                same_zone: member.same_zone,
             }
         };
         self.members.iter().enumerate().map(view).collect()
     }
 
-    /// Picks the member for a write.
+    /// Selects the member for a write.
     pub fn route_write(&self) -> RouteTarget {
         routing::route_write(&self.views())
     }
 
-    /// Picks the member for a read, with the view on which the choice rests.
+    /// Selects the member for a read, and returns it with the views used for the decision.
     pub fn route_read(
         &self,
-        needs: &ReadRequirements,
+        requirements: &ReadRequirements,
         now: Instant,
     ) -> (RouteTarget, Vec<MemberView>) {
         let views = self.views();
-        (routing::route_read(&views, needs, now), views)
+        (routing::route_read(&views, requirements, now), views)
     }
 
     /// Returns the index and term of the primary.
@@ -130,108 +131,110 @@
         }
     }
 
-    /// Returns a receiver that learns of every change.
+    /// Returns a receiver that is notified when a member's role, term or reachability changes.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.change_count.subscribe()
     }
 
-    /// Waits until another member is the primary, or the same one in another term.
+    /// Waits until another member is the primary, or the same member in another term.
     pub async fn wait_until_replaced(&self, primary: usize, term: u64) {
         let replaced = || self.primary().is_some_and(|current| current != (primary, term));
         self.wait_until(replaced).await;
     }
 
-    /// Waits until a member no longer answers this instance.
+    /// Waits until a member is unreachable for this instance.
     pub async fn wait_until_unreachable(&self, index: usize) {
         self.wait_until(|| !self.members[index].last_state().reachable).await;
     }
 
-    async fn wait_until(&self, holds: impl Fn() -> bool) {
-        let mut changes = self.subscribe();
+    async fn wait_until(&self, condition: impl Fn() -> bool) {
+        let mut change_receiver = self.subscribe();
         loop {
-            changes.borrow_and_update();
-            if holds() {
+            change_receiver.borrow_and_update();
+            if condition() {
                 return;
             }
-            if changes.changed().await.is_err() {
+            if change_receiver.changed().await.is_err() {
                 std::future::pending::<()>().await;
             }
         }
     }
 
-    /// Records a status answer.
+    /// Records a member's response to a status request.
     pub fn record_status(&self, index: usize, status: MemberStatus, now: Instant) {
-        let before = self.primary();
-        let previous = {
-            let mut record = self.members[index].record.lock();
-            let previous = *record;
-            *record = MemberState { status: Some(status), reachable: true, answered_at: now };
-            previous
+        let primary_before = self.primary();
+        let previous_state = {
+            let mut state = self.members[index].state.lock();
+            let previous_state = *state;
+            *state = MemberState { status: Some(status), reachable: true, last_response_at: now };
+            previous_state
         };
         self.freshness.lock().record_member(index, &status.position);
-        if !previous.reachable {
+        if !previous_state.reachable {
             let (database, member) = (&self.name, &self.members[index].name);
             log_event!(LogEvent::MemberFound, "database={database} member={member}");
         }
-        let moved = previous.status.is_none_or(|old| {
+        let leadership_changed = previous_state.status.is_none_or(|old| {
             old.position.role != status.position.role || old.position.term != status.position.term
         });
-        if moved || !previous.reachable {
-            self.publish(before);
+        if leadership_changed || !previous_state.reachable {
+            self.notify_change(primary_before);
         }
     }
 
-    /// Records a position that came with an answer on a caller's connection.
+    /// Records a member's position from the response to a caller's statement.
     pub fn record_position(&self, index: usize, position: MemberPosition) {
-        let mut record = self.members[index].record.lock();
-        let Some(status) = &mut record.status else {
+        let mut state = self.members[index].state.lock();
+        let Some(status) = &mut state.status else {
             return;
         };
-        let same = status.position.term == position.term && status.position.role == position.role;
-        if same && position.applied > status.position.applied {
+        let same_leadership =
+            status.position.term == position.term && status.position.role == position.role;
+        if same_leadership && position.applied > status.position.applied {
             status.position = position;
         }
     }
 
-    /// Records that a member does not answer.
-    pub fn record_loss(&self, index: usize, error: &MemberError) {
-        let before = self.primary();
+    /// Records that a member does not respond, and invalidates its pooled connections.
+    pub fn record_unreachable(&self, index: usize, error: &MemberError) {
+        let primary_before = self.primary();
         let was_reachable = {
-            let mut record = self.members[index].record.lock();
-            std::mem::replace(&mut record.reachable, false)
+            let mut state = self.members[index].state.lock();
+            std::mem::replace(&mut state.reachable, false)
         };
         if was_reachable {
             let (database, member) = (&self.name, &self.members[index].name);
             log_event!(LogEvent::MemberLost, "database={database} member={member}: {error}");
             self.members[index].pool.invalidate_all();
-            self.publish(before);
+            self.notify_change(primary_before);
         }
     }
 
-    /// Records a position that the primary proved current when asked at `asked_at`.
-    pub fn record_proof(&self, asked_at: Instant, position: MemberPosition) {
-        self.freshness.lock().record_primary(asked_at, position.applied_position());
+    /// Records a position of the primary whose leadership a majority confirmed, in response to a
+    /// request sent at `sent_at`.
+    pub fn record_leadership_confirmation(&self, sent_at: Instant, position: MemberPosition) {
+        self.freshness.lock().record_primary(sent_at, position.applied_position());
     }
 
-    /// Returns the greatest age of a member's data, for status reports.
-    pub fn age(&self, index: usize, now: Instant) -> Option<Duration> {
+    /// Returns an upper bound on the staleness of a member's data.
+    pub fn staleness_bound(&self, index: usize, now: Instant) -> Option<Duration> {
         self.freshness.lock().staleness_bound(index, now)
     }
 
-    fn publish(&self, before: Option<(usize, u64)>) {
+    fn notify_change(&self, primary_before: Option<(usize, u64)>) {
         let after = self.primary();
-        if let Some((index, term)) = after.filter(|_| after != before) {
+        if let Some((index, term)) = after.filter(|_| after != primary_before) {
             let (database, member) = (&self.name, &self.members[index].name);
             log_event!(
                 LogEvent::PrimaryChanged,
                 "database={database} primary={member} term={term}"
             );
         }
-        self.changed.send_modify(|count| *count += 1);
+        self.change_count.send_modify(|count| *count += 1);
     }
 }
 
-/// Position of a member that has not answered yet.
+/// Position of a member that has not responded yet.
 const UNKNOWN_POSITION: MemberPosition =
     MemberPosition { role: MemberRole::Replica, term: 0, applied: 0, term_start: 0 };
 
@@ -241,10 +244,10 @@
     settings: &ProxySettings,
     capacity: usize,
 ) -> Option<MemberHandle> {
-    let known = |address: &&crate::settings::MemberAddress| {
+    let matches_member = |address: &&crate::settings::MemberAddress| {
         address.database == database && address.member == **member
     };
-    let address = settings.members.iter().find(known)?;
+    let address = settings.members.iter().find(matches_member)?;
     let target = MemberTarget {
         address: address.address,
         database: database.to_owned(),
@@ -257,13 +260,13 @@
     Some(MemberHandle {
         name: member.clone(),
         zone: address.zone.clone(),
-        near: address.zone == settings.zone,
+        same_zone: address.zone == settings.zone,
         pool: MemberPool::new(target, capacity),
         control,
-        record: Mutex::new(MemberState {
+        state: Mutex::new(MemberState {
             status: None,
             reachable: false,
-            answered_at: Instant::now(),
+            last_response_at: Instant::now(),
         }),
     })
 }
--- a/crates/proxy/src/document.rs
+++ b/crates/proxy/src/document.rs
@@ -1,4 +1,4 @@
-//! Brings documents into force on this instance and passes them on.
+//! Obtains new documents from the table service or from peers and puts them in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,18 +17,18 @@
 
 /// Interval at which head and epoch are read from the table service.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Time that a read of head and epoch may take.
+/// Timeout of a read of head and epoch.
 const POLL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Instances in each availability zone that read the table service.
-const ZONE_POLLERS: usize = 2;
-/// Age of the last proof above which an instance reads the table service itself.
-const PROOF_PATIENCE: Duration = Duration::from_millis(900);
+/// Number of instances in each availability zone that poll the table service.
+const POLLERS_PER_ZONE: usize = 2;
+/// Validation age above which every instance polls the table service itself.
+const MAX_VALIDATION_AGE: Duration = Duration::from_millis(900);
 
-/// Reads head and epoch again and again and puts newer documents into force.
-pub async fn follow(instance: Arc<ProxyInstance>) {
+/// Polls head and epoch, periodically and on request, and puts newer documents in force.
+pub async fn poll_store(instance: Arc<ProxyInstance>) {
     let mut ticks = interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut answered = true;
+    let mut is_reachable = true;
     loop {
         tokio::select! {
             _ = ticks.tick() => {
@@ -40,41 +40,43 @@
         }
         let poll = poll(&instance).await;
         match &poll {
-            Err(error) if answered => log_event!(LogEvent::PlatformLost, "{error}"),
-            Ok(()) if !answered => log_event!(LogEvent::PlatformFound, "head and epoch read"),
+            Err(error) if is_reachable => log_event!(LogEvent::PlatformLost, "{error}"),
+            Ok(()) if !is_reachable => log_event!(LogEvent::PlatformFound, "head and epoch read"),
             _ => {}
         }
-        answered = poll.is_ok();
+        is_reachable = poll.is_ok();
     }
 }
 
-/// Tells whether this instance reads the table service for its availability zone.
+/// Returns whether this instance polls the table service: it ranks high enough in its availability
+/// zone, or its own validations are too old.
 fn is_poller(instance: &ProxyInstance) -> bool {
     let now = instance.now();
-    let age = instance.update_proofs(|proofs| {
+    let validation_age = instance.update_validations(|validations| {
         let (document, epoch) =
-            (proofs.document.validation_age(now), proofs.epoch.validation_age(now));
+            (validations.document.validation_age(now), validations.epoch.validation_age(now));
         document.zip(epoch).map(|(document, epoch)| document.max(epoch))
     });
-    if age.is_none_or(|age| age > PROOF_PATIENCE) {
+    if validation_age.is_none_or(|age| age > MAX_VALIDATION_AGE) {
         return true;
     }
-    let own = &instance.settings;
+    let settings = &instance.settings;
     let peers = instance.peers.all();
-    let near = peers.iter().filter(|peer| peer.zone == own.zone).map(|peer| peer.name.as_str());
-    rendezvous::rank("poller", &own.instance, near) < ZONE_POLLERS
+    let zone_peers =
+        peers.iter().filter(|peer| peer.zone == settings.zone).map(|peer| peer.name.as_str());
+    rendezvous::rank("poller", &settings.instance, zone_peers) < POLLERS_PER_ZONE
 }
 
 async fn poll(instance: &Arc<ProxyInstance>) -> Result<(), StoreError> {
-    let asked_at = instance.now();
+    let sent_at = instance.now();
     let store = DocumentStore::new(&instance.platform, &instance.settings.environment);
-    let read = timeout(POLL_TIMEOUT, store.snapshot()).await;
-    let rows = match read {
+    let result = timeout(POLL_TIMEOUT, store.snapshot()).await;
+    let rows = match result {
         Ok(Ok(rows)) => rows,
         failed => {
-            instance.update_proofs(|proofs| {
-                proofs.document.record_store_failure(asked_at);
-                proofs.epoch.record_store_failure(asked_at);
+            instance.update_validations(|validations| {
+                validations.document.record_store_failure(sent_at);
+                validations.epoch.record_store_failure(sent_at);
             });
             return match failed {
                 Ok(Err(error)) => Err(error),
@@ -82,29 +84,29 @@
             };
         }
     };
-    instance.note_epoch(rows.epoch.clone(), rows.epoch_row_revision);
+    instance.record_stored_epoch(rows.epoch.clone(), rows.epoch_row_revision);
     let epoch = rows.epoch.map_or(0, |epoch| epoch.number);
     let revision = rows.head.as_ref().map_or(0, |head| head.revision);
     if let Some(head) = rows.head.filter(|head| head.revision > instance.revision()) {
         let text = store.body(&head).await?;
         install(instance, head, text);
     }
-    instance.update_proofs(|proofs| {
-        proofs.document.record_store_version(asked_at, revision);
-        proofs.epoch.record_store_version(asked_at, epoch);
+    instance.update_validations(|validations| {
+        validations.document.record_store_version(sent_at, revision);
+        validations.epoch.record_store_version(sent_at, epoch);
     });
     Ok(())
 }
 
-/// Fetches the document in force on a peer that says it has a newer one.
-pub fn fetch_from(instance: Arc<ProxyInstance>, mut peer: PeerHandle) {
+/// Fetches the document of a peer that reports a newer revision.
+pub fn fetch_from_peer(instance: Arc<ProxyInstance>, mut peer: PeerHandle) {
     tokio::spawn(async move {
-        let Ok(reply) = peer.fetch_document(FetchRequest {}).await else {
+        let Ok(response) = peer.fetch_document(FetchRequest {}).await else {
             return;
         };
-        let body = reply.into_inner();
+        let body = response.into_inner();
         if sha256_hex(body.text.as_bytes()) != body.digest {
-            log_event!(LogEvent::DocumentRefused, "revision={}: wrong digest", body.revision);
+            log_event!(LogEvent::DocumentRefused, "revision={}: digest mismatch", body.revision);
             return;
         }
         let head = DocumentHead {
@@ -117,7 +119,8 @@
     });
 }
 
-/// Checks a document, puts it into force if it is newer, and tells the peers.
+/// Validates a document, puts it in force if it is newer, and announces it to peers with an older
+/// one.
 fn install(instance: &Arc<ProxyInstance>, head: DocumentHead, text: String) {
     if head.revision <= instance.revision() {
         return;
@@ -145,8 +148,8 @@
     for peer in instance.peers.all() {
         let behind = peer.summary.as_ref().is_none_or(|summary| summary.revision < revision);
         if behind {
-            let (mut handle, announcement) = (peer.handle, announcement.clone());
-            tokio::spawn(async move { handle.announce(announcement).await.map(|_| ()) });
+            let (mut client, announcement) = (peer.client, announcement.clone());
+            tokio::spawn(async move { client.announce(announcement).await.map(|_| ()) });
         }
     }
 }
--- a/crates/proxy/src/drain.rs
+++ b/crates/proxy/src/drain.rs
@@ -1,4 +1,4 @@
-//! Planned stop of an instance.
+//! Graceful shutdown of an instance.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,53 +11,55 @@
 use crate::heartbeat;
 use crate::instance::{InstancePhase, ProxyInstance};
 
-/// Time that a peer has to take over the shares.
-const HAND_BACK_TIME: Duration = Duration::from_secs(2);
-/// Age of a peer's last answer up to which shares are handed to it.
-const PEER_FRESH: Duration = Duration::from_millis(600);
-/// Interval at which open connections are counted.
-const COUNT_INTERVAL: Duration = Duration::from_millis(20);
-/// Time that connections have to end after they were cut.
-const CUT_TIME: Duration = Duration::from_millis(500);
+/// Timeout of the transfer of all shares to a peer.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time since the last contact to a peer for a transfer to it.
+const MAX_CONTACT_AGE: Duration = Duration::from_millis(600);
+/// Interval at which the wait conditions are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time limit for sessions to end after the instance closes them.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Drains an instance: leaves, finishes what is open, cuts the rest at the deadline.
+/// Drains an instance: announces that it leaves, waits for open sessions until the drain deadline,
+/// transfers its shares to a peer and closes the remaining sessions.
 pub async fn drain(instance: &Arc<ProxyInstance>) {
     log_event!(LogEvent::DrainStarted, "callers={}", instance.callers.load(Ordering::Relaxed));
     instance.advance_phase(InstancePhase::Leaving);
     sleep(instance.settings.drain_notice).await;
     instance.advance_phase(InstancePhase::Draining);
     wait_for_callers(instance, instance.settings.drain_deadline).await;
-    hand_back(instance).await;
+    transfer_shares(instance).await;
     let cut = instance.callers.load(Ordering::Relaxed);
     instance.advance_phase(InstancePhase::Closed);
-    wait_for_callers(instance, CUT_TIME).await;
+    wait_for_callers(instance, CLOSE_TIMEOUT).await;
     log_event!(LogEvent::DrainEnded, "cut={cut}");
 }
 
-/// Gives every share to a peer that stays, and waits until it has arrived.
-async fn hand_back(instance: &Arc<ProxyInstance>) {
+/// Grants all shares to an active peer and waits for the acknowledgement.
+async fn transfer_shares(instance: &Arc<ProxyInstance>) {
     let now = instance.now();
-    let staying = instance.peers.find(|peer| {
+    let active_peer = instance.peers.find(|peer| {
         let summary = peer.summary.as_ref();
-        let fresh = peer.answered_at.is_some_and(|at| now.duration_since(at) < PEER_FRESH);
-        fresh && summary.is_some_and(|summary| !summary.leaving)
+        let is_reachable =
+            peer.last_contact_at.is_some_and(|at| now.duration_since(at) < MAX_CONTACT_AGE);
+        is_reachable && summary.is_some_and(|summary| !summary.leaving)
     });
-    let Some(taker) = staying.and_then(|peer| peer.incarnation()) else {
+    let Some(recipient) = active_peer.and_then(|peer| peer.incarnation()) else {
         return;
     };
     let catalog = instance.catalog();
-    instance.ledger.give_everything(&instance.limiter, &catalog, taker, now);
-    let end = Instant::now() + HAND_BACK_TIME;
-    while !instance.ledger.is_settled(&[taker]) && Instant::now() < end {
-        sleep(COUNT_INTERVAL).await;
+    instance.ledger.grant_all(&instance.limiter, &catalog, recipient, now);
+    let deadline = Instant::now() + TRANSFER_TIMEOUT;
+    while !instance.ledger.is_acknowledged(&[recipient]) && Instant::now() < deadline {
+        sleep(POLL_INTERVAL).await;
     }
-    // One more heartbeat tells every peer that nothing is held here.
-    sleep(heartbeat::BEAT_INTERVAL * 2).await;
+    // Lets another heartbeat report to all peers that this instance holds no shares.
+    sleep(heartbeat::HEARTBEAT_INTERVAL * 2).await;
 }
 
 async fn wait_for_callers(instance: &ProxyInstance, limit: Duration) {
-    let end = Instant::now() + limit;
-    while instance.callers.load(Ordering::Relaxed) > 0 && Instant::now() < end {
-        sleep(COUNT_INTERVAL).await;
+    let deadline = Instant::now() + limit;
+    while instance.callers.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/proxy/src/exposition.rs
+++ b/crates/proxy/src/exposition.rs
@@ -10,7 +10,7 @@
 
 use crate::instance::{InstanceError, ListenSnafu};
 
-/// Starts serving metrics on `address`.
+/// Starts an HTTP server for `/metrics` on `address`. Fails if the address is in use.
 pub async fn serve(address: SocketAddr, recorder: PrometheusHandle) -> Result<(), InstanceError> {
     let listener = TcpListener::bind(address).await.context(ListenSnafu { address })?;
     let render = move || {
--- a/crates/proxy/src/heartbeat.rs
+++ b/crates/proxy/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between instances: states, proofs, shares.
+//! Heartbeats between instances, which exchange state, validation ages and shares.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,79 +17,81 @@
 
 use crate::document;
 use crate::instance::{InstancePhase, ProxyInstance};
-use crate::ledger::LimitedTeam;
+use crate::ledger::TeamBucket;
 use crate::peers::{PeerEntry, PeerShare};
 
-/// Interval between two heartbeats to a peer.
-pub const BEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval at which the platform's list is read.
+/// Interval of heartbeats to every peer.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which the platform's list of instances is read.
 const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Interval at which it is read until it names this instance.
-const FIRST_LIST_INTERVAL: Duration = Duration::from_millis(50);
-/// Time after which a peer counts as silent in a round.
-const ROUND_LIMIT: Duration = Duration::from_millis(500);
+/// Interval at which the list is read until it contains this instance.
+const STARTUP_LIST_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of a heartbeat, after which the peer counts as unanswered in its round.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Keeps the directory in line with the platform's list.
-pub async fn follow_list(instance: Arc<ProxyInstance>) {
+/// Polls the platform's list of instances and updates the peer directory.
+pub async fn poll_instance_list(instance: Arc<ProxyInstance>) {
     loop {
-        // The list outlives outages of the platform: the last one read stays in force.
+        // During an outage of the platform the last list stays in use.
         if let Ok(list) = instance.platform.instances().await {
             let own = &instance.settings.instance;
             instance.peers.update(own, &list);
-            // A list without this instance is older than it and may miss others as well.
+            // A list without this instance is outdated and may lack other instances as well.
             if list.iter().any(|record| record.name == *own) {
-                instance.note_listed();
+                instance.mark_listed();
             }
         }
-        let pause = if instance.is_listed() { LIST_INTERVAL } else { FIRST_LIST_INTERVAL };
-        let _ = timeout(pause, instance.list_requested()).await;
+        let pause = if instance.is_listed() { LIST_INTERVAL } else { STARTUP_LIST_INTERVAL };
+        let _ = timeout(pause, instance.instance_list_requested()).await;
     }
 }
 
-/// Exchanges heartbeats with every listed peer.
+/// Sends heartbeats to all listed peers in periodic rounds.
 pub async fn run(instance: Arc<ProxyInstance>) {
-    let mut ticks = interval(BEAT_INTERVAL);
+    let mut ticks = interval(HEARTBEAT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let catalog = instance.catalog();
-        instance.ledger.measure(&catalog, &instance.limiter, instance.now());
-        round(&instance).await;
+        instance.ledger.measure_demand(&catalog, &instance.limiter, instance.now());
+        run_heartbeat_round(&instance).await;
     }
 }
 
-async fn round(instance: &Arc<ProxyInstance>) {
+async fn run_heartbeat_round(instance: &Arc<ProxyInstance>) {
     let started_at = instance.now();
-    instance.update_proofs(|proofs| {
-        proofs.document.start_heartbeat_round(started_at);
-        proofs.epoch.start_heartbeat_round(started_at);
+    instance.update_validations(|validations| {
+        validations.document.start_heartbeat_round(started_at);
+        validations.epoch.start_heartbeat_round(started_at);
     });
     let peers = instance.peers.all();
-    let mut beats = JoinSet::new();
+    let mut heartbeats = JoinSet::new();
     for peer in peers.iter().cloned() {
         let instance = instance.clone();
-        beats.spawn(async move { beat(&instance, peer).await });
+        heartbeats.spawn(async move { send_heartbeat(&instance, peer).await });
     }
-    beats.join_all().await;
+    heartbeats.join_all().await;
     let now = instance.now();
-    // Before the platform's list was read nobody knows whom to ask.
-    let listed = if instance.is_listed() { peers.len() } else { usize::MAX };
-    instance.update_proofs(|proofs| {
-        proofs.document.end_heartbeat_round(listed, now);
-        proofs.epoch.end_heartbeat_round(listed, now);
+    // Until the list contains this instance, the number of peers is unknown. A count that no round
+    // can reach prevents a validation by the peers.
+    let peer_count = if instance.is_listed() { peers.len() } else { usize::MAX };
+    instance.update_validations(|validations| {
+        validations.document.end_heartbeat_round(peer_count, now);
+        validations.epoch.end_heartbeat_round(peer_count, now);
     });
-    if !instance.is_ready() && knows_enough(instance, now) {
-        instance.note_ready();
+    if !instance.is_ready() && is_view_complete(instance, now) {
+        instance.mark_ready();
     }
 }
 
-/// Tells whether document and epoch are proved and no peer that answers is in another epoch.
-fn knows_enough(instance: &ProxyInstance, now: Instant) -> bool {
+/// Returns whether this instance is listed, document and epoch are validated, and no responding
+/// peer is in another epoch.
+fn is_view_complete(instance: &ProxyInstance, now: Instant) -> bool {
     let epoch = instance.ledger.epoch();
-    let fresh = |at: Instant| now.saturating_duration_since(at) < 3 * BEAT_INTERVAL;
+    let is_recent = |at: Instant| now.saturating_duration_since(at) < 3 * HEARTBEAT_INTERVAL;
     let agrees = |peer: &PeerEntry| {
-        let answers = peer.answered_at.is_some_and(fresh);
-        !answers || peer.summary.as_ref().is_some_and(|summary| summary.epoch == epoch)
+        let responds = peer.last_contact_at.is_some_and(is_recent);
+        !responds || peer.summary.as_ref().is_some_and(|summary| summary.epoch == epoch)
     };
     instance.is_listed()
         && instance.is_document_valid(now)
@@ -97,73 +99,86 @@
         && !instance.peers.any(|peer| !agrees(peer))
 }
 
-async fn beat(instance: &Arc<ProxyInstance>, mut peer: PeerEntry) {
-    let asked_at = instance.now();
+async fn send_heartbeat(instance: &Arc<ProxyInstance>, mut peer: PeerEntry) {
+    let sent_at = instance.now();
     let request = BeatRequest {
         summary: Some(summary(instance)),
-        shares: instance.ledger.shares_for(&instance.catalog(), peer.incarnation()),
+        shares: instance.ledger.team_shares(&instance.catalog(), peer.incarnation()),
         receiver: peer.incarnation().unwrap_or_default(),
     };
     counter!(meter::PEER_MESSAGES, "kind" => "beat").increment(1);
-    let answer = timeout(ROUND_LIMIT, peer.handle.beat(request)).await;
-    let id = coord::rendezvous::weight("peer", &peer.name);
-    match answer {
+    let response = timeout(HEARTBEAT_TIMEOUT, peer.client.beat(request)).await;
+    let peer_id = coord::rendezvous::weight("peer", &peer.name);
+    match response {
         Ok(Ok(reply)) => {
             let BeatReply { summary, shares, receiver } = reply.into_inner();
             if let Some(summary) = summary {
-                record_words(instance, id, asked_at, &summary);
-                receive(instance, &peer, summary, &shares, receiver);
+                record_response(instance, peer_id, sent_at, &summary);
+                apply_summary(instance, &peer, summary, &shares, receiver);
             }
         }
         Ok(Err(status)) if is_connection_refused(&status) => {
-            record_word(instance, id, asked_at, HeartbeatOutcome::Refused);
+            record_outcome(instance, peer_id, sent_at, HeartbeatOutcome::Refused);
         }
-        _ => record_word(instance, id, asked_at, HeartbeatOutcome::Unanswered),
+        _ => record_outcome(instance, peer_id, sent_at, HeartbeatOutcome::Unanswered),
     }
 }
 
-fn record_word(instance: &ProxyInstance, id: u64, asked_at: Instant, word: HeartbeatOutcome) {
-    instance.update_proofs(|proofs| {
-        proofs.document.record_peer(id, asked_at, word);
-        proofs.epoch.record_peer(id, asked_at, word);
+fn record_outcome(
+    instance: &ProxyInstance,
+    peer_id: u64,
+    sent_at: Instant,
+    outcome: HeartbeatOutcome,
+) {
+    instance.update_validations(|validations| {
+        validations.document.record_peer(peer_id, sent_at, outcome);
+        validations.epoch.record_peer(peer_id, sent_at, outcome);
     });
 }
 
-fn record_words(instance: &ProxyInstance, id: u64, asked_at: Instant, summary: &InstanceSummary) {
-    let word = |version, age: Option<u64>| HeartbeatOutcome::Answered {
+fn record_response(
+    instance: &ProxyInstance,
+    peer_id: u64,
+    sent_at: Instant,
+    summary: &InstanceSummary,
+) {
+    let outcome = |version, age: Option<u64>| HeartbeatOutcome::Answered {
         version,
         validation_age: age.map(Duration::from_millis),
         store_down: summary.store_down,
     };
-    let document = word(summary.revision, summary.revision_proof_age_ms);
-    let epoch = word(summary.epoch, summary.epoch_proof_age_ms);
-    instance.update_proofs(|proofs| {
-        proofs.document.record_peer(id, asked_at, document);
-        proofs.epoch.record_peer(id, asked_at, epoch);
+    let document = outcome(summary.revision, summary.revision_proof_age_ms);
+    let epoch = outcome(summary.epoch, summary.epoch_proof_age_ms);
+    instance.update_validations(|validations| {
+        validations.document.record_peer(peer_id, sent_at, document);
+        validations.epoch.record_peer(peer_id, sent_at, epoch);
     });
 }
 
-/// Answers a peer's heartbeat.
-pub fn answer(instance: &Arc<ProxyInstance>, request: BeatRequest) -> Result<BeatReply, Status> {
-    let summary_of_peer =
-        request.summary.ok_or_else(|| Status::invalid_argument("a beat carries a summary"))?;
-    let incarnation = summary_of_peer.incarnation;
-    let known = instance.peers.find(|peer| peer.name == summary_of_peer.instance);
-    match known {
+/// Handles a peer's heartbeat and returns the response. Fails if the request has no summary.
+pub fn handle_heartbeat(
+    instance: &Arc<ProxyInstance>,
+    request: BeatRequest,
+) -> Result<BeatReply, Status> {
+    let peer_summary =
+        request.summary.ok_or_else(|| Status::invalid_argument("heartbeat has no summary"))?;
+    let incarnation = peer_summary.incarnation;
+    let listed_peer = instance.peers.find(|peer| peer.name == peer_summary.instance);
+    match listed_peer {
         Some(peer) => {
-            receive(instance, &peer, summary_of_peer, &request.shares, request.receiver);
+            apply_summary(instance, &peer, peer_summary, &request.shares, request.receiver);
         }
-        None => instance.request_list(),
+        None => instance.request_instance_list(),
     }
     Ok(BeatReply {
         summary: Some(summary(instance)),
-        shares: instance.ledger.shares_for(&instance.catalog(), Some(incarnation)),
+        shares: instance.ledger.team_shares(&instance.catalog(), Some(incarnation)),
         receiver: incarnation,
     })
 }
 
-/// Takes over what a peer says of itself and of its shares.
-fn receive(
+/// Records a peer's state and applies its shares.
+fn apply_summary(
     instance: &Arc<ProxyInstance>,
     peer: &PeerEntry,
     summary: InstanceSummary,
@@ -173,70 +188,70 @@
     let now = instance.now();
     let (incarnation, epoch) = (summary.incarnation, summary.epoch);
     if summary.revision > instance.revision() {
-        document::fetch_from(instance.clone(), peer.handle.clone());
+        document::fetch_from_peer(instance.clone(), peer.client.clone());
     }
-    instance.peers.record(&peer.name, summary, now);
-    let giver = ShareGiver {
+    instance.peers.record_summary(&peer.name, summary, now);
+    let sender = ShareSender {
         name: &peer.name,
         incarnation,
         epoch,
         addressed: receiver == instance.incarnation(),
     };
-    receive_shares(instance, &giver, shares, now);
+    apply_shares(instance, &sender, shares, now);
 }
 
-/// Sender of shares.
-struct ShareGiver<'a> {
+/// Peer that has sent shares.
+struct ShareSender<'a> {
     name: &'a str,
     incarnation: Incarnation,
     epoch: u64,
-    /// Tells that the totals are for this incarnation and not for one before it.
+    /// Whether the totals are addressed to this incarnation of the instance, not to an earlier one.
     addressed: bool,
 }
 
-fn receive_shares(
+fn apply_shares(
     instance: &ProxyInstance,
-    giver: &ShareGiver<'_>,
+    sender: &ShareSender<'_>,
     shares: &[TeamShare],
     now: Instant,
 ) {
-    let ShareGiver { incarnation, epoch, addressed, .. } = *giver;
+    let ShareSender { incarnation, epoch, addressed, .. } = *sender;
     let catalog = instance.catalog();
     let mut held = SecondaryMap::new();
-    for (key, _) in catalog.teams() {
-        held.insert(key, PeerShare::default());
+    for (id, _) in catalog.teams() {
+        held.insert(id, PeerShare::default());
     }
     for share in shares {
-        let Some(key) = catalog.team_id(&share.team) else {
+        let Some(id) = catalog.team_id(&share.team) else {
             continue;
         };
-        let Some(entry) = catalog.team(key) else {
+        let Some(entry) = catalog.team(id) else {
             continue;
         };
-        held.insert(key, PeerShare { share: share.share, demand: share.demand });
+        held.insert(id, PeerShare { share: share.share, demand: share.demand });
         if !addressed {
             continue;
         }
-        instance.ledger.acknowledge(key, incarnation, epoch, share.taken_share);
+        instance.ledger.record_acknowledgement(id, incarnation, epoch, share.taken_share);
         if share.given_share > 0 {
             let totals = TransferTotals { share: share.given_share, tokens: share.given_tokens };
-            let team = LimitedTeam { limiter: &instance.limiter, key, entry };
-            instance.ledger.take(team, incarnation, epoch, totals, now);
+            let team = TeamBucket { limiter: &instance.limiter, id, entry };
+            instance.ledger.receive_grant(team, incarnation, epoch, totals, now);
         }
     }
-    instance.peers.record_shares(giver.name, held);
+    instance.peers.record_shares(sender.name, held);
 }
 
-/// Returns what this instance says of itself.
+/// Returns the state of this instance that is sent to peers.
 pub fn summary(instance: &ProxyInstance) -> InstanceSummary {
     let now = instance.now();
     let millis = |age: Duration| age.as_millis() as u64 + 1;
     let epoch = instance.ledger.epoch();
-    let (revision_age, epoch_age, store_down) = instance.update_proofs(|proofs| {
-        let document = &proofs.document;
-        // A provisional epoch has no proof of its own yet.
+    let (revision_age, epoch_age, store_down) = instance.update_validations(|validations| {
+        let document = &validations.document;
+        // An epoch that the instance has entered provisionally is not validated yet.
         let epoch_age =
-            proofs.epoch.validation_age(now).filter(|_| proofs.epoch.version() == epoch);
+            validations.epoch.validation_age(now).filter(|_| validations.epoch.version() == epoch);
         (document.validation_age(now), epoch_age, document.is_store_down(now))
     });
     InstanceSummary {
@@ -244,7 +259,7 @@
         zone: instance.settings.zone.clone(),
         incarnation: instance.incarnation(),
         revision: instance.revision(),
-        // Rounded up, so that a proof never looks younger than it is.
+        // Rounded up, so that a validation never appears younger than it is.
         revision_proof_age_ms: revision_age.map(millis),
         epoch,
         epoch_proof_age_ms: epoch_age.map(millis),
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -1,4 +1,4 @@
-//! State that all sessions of one instance share, and the start of its tasks.
+//! Shared state of one instance, and the start of its tasks.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -33,111 +33,111 @@
     document, failover, heartbeat, listener, monitor, peer_service, reconciliation, share_transfer,
 };
 
-/// Time that an operation on the platform's services may take.
+/// Timeout of an operation on a platform service.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Errors of starting an instance.
+/// Error of starting an instance.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum InstanceError {
-    /// An address cannot be listened on.
+    /// A listener cannot be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address that was tried.
+        /// Address of the listener.
         address: SocketAddr,
-        /// Cause reported by the system.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The client of the platform's services cannot be created.
+    /// The client of the platform services cannot be created.
     #[snafu(display("{source}"), context(false))]
     Platform {
-        /// Cause reported by the client.
+        /// Error of the client.
         source: PlatformError,
     },
 }
 
-/// How far the instance is on its way to an end.
+/// Phase of an instance, from serving to closed. Later phases compare greater.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum InstancePhase {
     /// Serves callers.
     Serving,
-    /// Accepts callers until the balancer has noticed that it leaves.
+    /// Still accepts callers, until the load balancer has noticed that the instance is leaving.
     Leaving,
-    /// Finishes what is open.
+    /// Finishes open requests and transactions.
     Draining,
-    /// Closes every connection.
+    /// Closes all connections.
     Closed,
 }
 
-/// Database with the tasks that watch it.
-struct WatchedDatabase {
+/// Database with the tasks that monitor it.
+struct MonitoredDatabase {
     handle: Arc<DatabaseHandle>,
     _tasks: JoinSet<()>,
 }
 
-/// Proofs that what the instance acts on is still in force.
+/// Validations of the versions on which the instance acts.
 #[derive(Debug, Default)]
-pub struct InstanceProofs {
-    /// Proof of the document's revision.
+pub struct InstanceValidations {
+    /// Validation of the document's revision.
     pub document: ValidationTracker,
-    /// Proof of the ledger's epoch.
+    /// Validation of the ledger's epoch.
     pub epoch: ValidationTracker,
 }
 
-/// Epoch as the table service last named it.
+/// Epoch as last read from the table service.
 #[derive(Debug, Default)]
-struct KnownEpoch {
-    asked: bool,
+struct StoredEpoch {
+    loaded: bool,
     epoch: Option<LedgerEpoch>,
-    row: u64,
+    row_revision: u64,
 }
 
-/// Proxy instance.
+/// State of a proxy instance, shared by its sessions and tasks.
 pub struct ProxyInstance {
-    /// Settings the instance was started with.
+    /// Settings with which the instance was started.
     pub settings: ProxySettings,
     /// Clock of the instance.
     pub clock: SharedClock,
-    /// Platform's services.
+    /// Client of the platform services.
     pub platform: PlatformClient,
-    /// Classes of statement texts.
+    /// Cache of statement classes by text.
     pub statements: StatementCache,
     /// Codec of session tokens.
     pub tokens: TokenCodec,
-    /// This instance's part of the teams' limits.
+    /// Token buckets of the teams on this instance.
     pub limiter: TeamLimiter,
-    /// Ledger of this instance's shares.
+    /// Ledger of this instance's shares of the teams' limits.
     pub ledger: InstanceLedger,
-    /// Other instances.
+    /// Directory of the other instances.
     pub peers: PeerDirectory,
-    /// Sessions by process number.
+    /// Sessions by process id, for cancel requests.
     pub cancel_registry: Arc<CancelRegistry>,
-    /// Counters of the instance.
+    /// Metric counters of the instance.
     pub counters: InstanceCounters,
-    /// Callers connected now.
+    /// Number of connected callers.
     pub callers: AtomicUsize,
     catalog: RwLock<Arc<DocumentCatalog>>,
     document: RwLock<Option<Arc<StoredDocument>>>,
-    proofs: Mutex<InstanceProofs>,
-    /// Milliseconds after the start up to which the document and the epoch may be acted on.
-    document_valid_ms: AtomicU64,
-    epoch_valid_ms: AtomicU64,
+    validations: Mutex<InstanceValidations>,
+    /// Times up to which document and epoch may be acted on, in milliseconds after `started_at`.
+    document_valid_until_ms: AtomicU64,
+    epoch_valid_until_ms: AtomicU64,
     started_at: Instant,
-    known_epoch: Mutex<KnownEpoch>,
+    stored_epoch: Mutex<StoredEpoch>,
     listed: AtomicBool,
     ready: watch::Sender<bool>,
-    poll: Notify,
-    list: Notify,
+    poll_requests: Notify,
+    list_requests: Notify,
     peer_address: SocketAddr,
     revision: AtomicU64,
-    databases: Mutex<HashMap<DatabaseId, WatchedDatabase>>,
+    databases: Mutex<HashMap<DatabaseId, MonitoredDatabase>>,
     phase: watch::Sender<InstancePhase>,
-    labels: AtomicU64,
+    label_count: AtomicU64,
     incarnation: u64,
 }
 
 impl ProxyInstance {
-    /// Creates an instance that serves nothing yet.
+    /// Creates an instance without starting its tasks.
     pub fn create(
         settings: ProxySettings,
         clock: SharedClock,
@@ -156,42 +156,42 @@
             callers: AtomicUsize::new(0),
             catalog: RwLock::default(),
             document: RwLock::default(),
-            proofs: Mutex::default(),
-            document_valid_ms: AtomicU64::new(0),
-            epoch_valid_ms: AtomicU64::new(0),
+            validations: Mutex::default(),
+            document_valid_until_ms: AtomicU64::new(0),
+            epoch_valid_until_ms: AtomicU64::new(0),
             started_at: clock.now(),
-            known_epoch: Mutex::default(),
+            stored_epoch: Mutex::default(),
             listed: AtomicBool::new(false),
             ready: watch::Sender::new(false),
-            poll: Notify::new(),
-            list: Notify::new(),
+            poll_requests: Notify::new(),
+            list_requests: Notify::new(),
             peer_address,
             revision: AtomicU64::new(0),
             databases: Mutex::default(),
             phase: watch::Sender::new(InstancePhase::Serving),
-            labels: AtomicU64::new(0),
+            label_count: AtomicU64::new(0),
             incarnation: rand::random(),
             settings,
             clock,
         }))
     }
 
-    /// Returns the document in force.
+    /// Returns the catalog of the document in force, empty before the first document.
     pub fn catalog(&self) -> Arc<DocumentCatalog> {
         self.catalog.read().clone()
     }
 
-    /// Returns the revision of the document in force, zero before the first one.
+    /// Returns the revision of the document in force, zero before the first document.
     pub fn revision(&self) -> u64 {
         self.revision.load(Ordering::Acquire)
     }
 
-    /// Returns the number drawn when the instance started.
+    /// Returns the random number that identifies this run of the instance.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Returns the document in force with its text.
+    /// Returns the document in force with its head and text.
     pub fn document(&self) -> Option<Arc<StoredDocument>> {
         self.document.read().clone()
     }
@@ -201,7 +201,9 @@
         self.peer_address
     }
 
-    /// Puts a document into force if its revision is higher than the one in force.
+    /// Puts a document in force if its revision is higher than the current one.
+    ///
+    /// Returns whether it was put in force.
     pub fn apply_document(self: &Arc<Self>, stored: StoredDocument, document: &Document) -> bool {
         let revision = stored.head.revision;
         let mut catalog = self.catalog.write();
@@ -209,186 +211,190 @@
             return false;
         }
         let next = Arc::new(catalog.updated(revision, document));
-        self.replace_databases(&next);
+        self.update_databases(&next);
         self.ledger.apply_catalog(&catalog, &next, &self.limiter, self.clock.now());
         *catalog = next;
         *self.document.write() = Some(Arc::new(stored));
         self.revision.store(revision, Ordering::Release);
         drop(catalog);
-        self.update_proofs(|proofs| proofs.document.adopt(revision));
+        self.update_validations(|validations| validations.document.adopt(revision));
         gauge!(meter::DOCUMENT_REVISION, "instance" => self.settings.instance.clone())
             .set(revision as f64);
         true
     }
 
-    /// Runs an operation on the proofs and publishes up to when they hold.
-    pub fn update_proofs<T>(&self, operation: impl FnOnce(&mut InstanceProofs) -> T) -> T {
-        let mut proofs = self.proofs.lock();
-        let result = operation(&mut proofs);
-        let millis = |machine: &ValidationTracker| {
-            let until = machine.valid_until().filter(|_| machine.version() > 0);
-            let after = until.map(|until| until.saturating_duration_since(self.started_at));
-            after.map_or(0, |after| after.as_millis() as u64)
+    /// Runs an operation on the validations and updates the times up to which they are valid.
+    pub fn update_validations<T>(
+        &self,
+        operation: impl FnOnce(&mut InstanceValidations) -> T,
+    ) -> T {
+        let mut validations = self.validations.lock();
+        let result = operation(&mut validations);
+        let expiry_ms = |tracker: &ValidationTracker| {
+            let expires_at = tracker.valid_until().filter(|_| tracker.version() > 0);
+            let valid_for =
+                expires_at.map(|expires_at| expires_at.saturating_duration_since(self.started_at));
+            valid_for.map_or(0, |valid_for| valid_for.as_millis() as u64)
         };
-        self.document_valid_ms.store(millis(&proofs.document), Ordering::Release);
-        self.epoch_valid_ms.store(millis(&proofs.epoch), Ordering::Release);
+        self.document_valid_until_ms.store(expiry_ms(&validations.document), Ordering::Release);
+        self.epoch_valid_until_ms.store(expiry_ms(&validations.epoch), Ordering::Release);
         result
     }
 
-    /// Tells whether the document may be acted on at `now`.
+    /// Returns whether the document may be acted on at `now`.
     pub fn is_document_valid(&self, now: Instant) -> bool {
-        self.is_before(now, &self.document_valid_ms)
+        self.is_within(now, &self.document_valid_until_ms)
     }
 
-    /// Tells whether shares of the ledger may be used at `now`.
+    /// Returns whether the shares of the ledger may be used at `now`.
     pub fn is_epoch_valid(&self, now: Instant) -> bool {
-        self.is_before(now, &self.epoch_valid_ms)
+        self.is_within(now, &self.epoch_valid_until_ms)
     }
 
-    /// Tells whether a census may start: the epoch is proved, or the first one is missing.
+    /// Returns whether a new epoch may be started: the current one is valid, or there is none yet.
     pub fn is_epoch_valid_or_absent(&self, now: Instant) -> bool {
         self.is_epoch_valid(now) || self.is_epoch_absent()
     }
 
-    fn is_before(&self, now: Instant, limit: &AtomicU64) -> bool {
-        let passed = now.saturating_duration_since(self.started_at).as_millis() as u64;
-        passed < limit.load(Ordering::Acquire)
+    fn is_within(&self, now: Instant, valid_until_ms: &AtomicU64) -> bool {
+        let elapsed_ms = now.saturating_duration_since(self.started_at).as_millis() as u64;
+        elapsed_ms < valid_until_ms.load(Ordering::Acquire)
     }
 
-    /// Records the epoch that the table service named.
-    pub fn note_epoch(&self, epoch: Option<LedgerEpoch>, row: u64) {
-        *self.known_epoch.lock() = KnownEpoch { asked: true, epoch, row };
+    /// Records the epoch read from the table service, and the revision of its row.
+    pub fn record_stored_epoch(&self, epoch: Option<LedgerEpoch>, row_revision: u64) {
+        *self.stored_epoch.lock() = StoredEpoch { loaded: true, epoch, row_revision };
     }
 
-    /// Returns the epoch that the table service named last and its row's revision.
-    pub fn known_epoch(&self) -> (u64, u64) {
-        let known = self.known_epoch.lock();
-        (known.epoch.as_ref().map_or(0, |epoch| epoch.number), known.row)
+    /// Returns the epoch last read from the table service, zero for none, and its row's revision.
+    pub fn stored_epoch(&self) -> (u64, u64) {
+        let known_epoch = self.stored_epoch.lock();
+        (known_epoch.epoch.as_ref().map_or(0, |epoch| epoch.number), known_epoch.row_revision)
     }
 
-    /// Tells whether the table service has said that there is no epoch yet.
+    /// Returns whether the table service has reported that there is no epoch yet.
     pub fn is_epoch_absent(&self) -> bool {
-        let known = self.known_epoch.lock();
-        known.asked && known.epoch.is_none()
+        let known_epoch = self.stored_epoch.lock();
+        known_epoch.loaded && known_epoch.epoch.is_none()
     }
 
-    /// Asks for a read of the platform's list, after an instance was heard that it lacks.
-    pub fn request_list(&self) {
-        self.list.notify_one();
+    /// Requests a read of the platform's list, after contact by an instance that is not listed.
+    pub fn request_instance_list(&self) {
+        self.list_requests.notify_one();
     }
 
-    /// Waits until a read of the platform's list is asked for.
-    pub async fn list_requested(&self) {
-        self.list.notified().await;
+    /// Waits until a read of the platform's list is requested.
+    pub async fn instance_list_requested(&self) {
+        self.list_requests.notified().await;
     }
 
-    /// Notes that the platform's list names this instance.
-    pub fn note_listed(&self) {
+    /// Records that the platform's list contains this instance.
+    pub fn mark_listed(&self) {
         self.listed.store(true, Ordering::Release);
     }
 
-    /// Tells whether the platform's list has named this instance.
+    /// Returns whether the platform's list has contained this instance.
     pub fn is_listed(&self) -> bool {
         self.listed.load(Ordering::Acquire)
     }
 
-    /// Notes that document, epoch and peers are known, so that callers can be served.
-    pub fn note_ready(&self) {
+    /// Records that document, epoch and peers are known, so that callers can be served.
+    pub fn mark_ready(&self) {
         self.ready.send_if_modified(|ready| !std::mem::replace(ready, true));
     }
 
-    /// Tells whether callers can be served.
+    /// Returns whether callers can be served.
     pub fn is_ready(&self) -> bool {
         *self.ready.borrow()
     }
 
     /// Waits until callers can be served.
     pub async fn wait_until_ready(&self) {
-        // The sender lives as long as the instance, so the wait ends only by readiness.
+        // The instance keeps the sender, so the wait cannot end because the channel is closed.
         let _ = self.ready.subscribe().wait_for(|ready| *ready).await;
     }
 
-    /// Asks for a read of the table service now.
+    /// Requests an immediate read of the table service.
     pub fn request_poll(&self) {
-        self.poll.notify_one();
+        self.poll_requests.notify_one();
     }
 
-    /// Waits until a read of the table service is asked for.
+    /// Waits until a read of the table service is requested.
     pub async fn poll_requested(&self) {
-        self.poll.notified().await;
+        self.poll_requests.notified().await;
     }
 
-    fn replace_databases(self: &Arc<Self>, catalog: &DocumentCatalog) {
+    fn update_databases(self: &Arc<Self>, catalog: &DocumentCatalog) {
         let mut databases = self.databases.lock();
-        databases.retain(|key, _| catalog.database(*key).is_some());
-        for (key, entry) in catalog.databases() {
-            let same = |watched: &WatchedDatabase| {
-                let members = watched.handle.members.iter().map(|member| &member.name);
+        databases.retain(|id, _| catalog.database(*id).is_some());
+        for (id, entry) in catalog.databases() {
+            let has_same_members = |monitored: &MonitoredDatabase| {
+                let members = monitored.handle.members.iter().map(|member| &member.name);
                 members.eq(entry.members.iter())
             };
-            let capacity = self.connection_share(entry.connections);
-            match databases.get(&key) {
-                Some(watched) if same(watched) => {
-                    let members = watched.handle.members.iter();
+            let capacity = self.connections_per_instance(entry.connections);
+            match databases.get(&id) {
+                Some(monitored) if has_same_members(monitored) => {
+                    let members = monitored.handle.members.iter();
                     members.for_each(|member| member.pool.resize(capacity));
                 }
                 _ => {
-                    let handle = DatabaseHandle::new(key, entry, &self.settings, capacity);
+                    let handle = DatabaseHandle::new(id, entry, &self.settings, capacity);
                     let handle = Arc::new(handle);
-                    let mut tasks = monitor::watch(&handle);
+                    let mut tasks = monitor::monitor_database(&handle);
                     tasks.spawn(failover::run(self.clone(), handle.clone()));
-                    databases.insert(key, WatchedDatabase { handle, _tasks: tasks });
+                    databases.insert(id, MonitoredDatabase { handle, _tasks: tasks });
                 }
             }
         }
     }
 
-    fn connection_share(&self, connections: u32) -> usize {
+    fn connections_per_instance(&self, connections: u32) -> usize {
         (connections as usize / self.settings.expected_instances).max(1)
     }
 
     /// Returns the handle of a database.
-    pub fn database(&self, key: DatabaseId) -> Option<Arc<DatabaseHandle>> {
-        self.databases.lock().get(&key).map(|watched| watched.handle.clone())
+    pub fn database(&self, id: DatabaseId) -> Option<Arc<DatabaseHandle>> {
+        self.databases.lock().get(&id).map(|monitored| monitored.handle.clone())
     }
 
     /// Returns the handles of all databases.
     pub fn databases(&self) -> Vec<Arc<DatabaseHandle>> {
-        self.databases.lock().values().map(|watched| watched.handle.clone()).collect()
+        self.databases.lock().values().map(|monitored| monitored.handle.clone()).collect()
     }
 
-    /// Returns a label that no other transaction carries.
+    /// Returns a unique label for a transaction.
     pub fn next_transaction_label(&self) -> String {
-        let number = self.labels.fetch_add(1, Ordering::Relaxed);
+        let number = self.label_count.fetch_add(1, Ordering::Relaxed);
         format!("{:016x}-{number:x}", self.incarnation)
     }
 
-    /// Returns how far the instance is on its way to an end.
+    /// Returns the current phase.
     pub fn phase(&self) -> InstancePhase {
         *self.phase.borrow()
     }
 
-    /// Returns a receiver of the instance's phases.
+    /// Returns a receiver that is notified of every change of the phase.
     pub fn phases(&self) -> watch::Receiver<InstancePhase> {
         self.phase.subscribe()
     }
 
-    /// Moves the instance to a later phase.
+    /// Moves the instance to a later phase; an earlier one is ignored.
     pub fn advance_phase(&self, phase: InstancePhase) {
         self.phase.send_if_modified(|current| {
-            let later = phase > *current;
+            let is_later = phase > *current;
             *current = (*current).max(phase);
-            later
+            is_later
         });
     }
 
-    /// Returns the current time.
+    /// Returns the current time of the instance's clock.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 }
 
-/// Running instance; its tasks end when it is dropped.
+/// Running instance. Its tasks end when it is dropped.
 pub struct RunningInstance {
     /// State of the instance.
     pub instance: Arc<ProxyInstance>,
@@ -399,7 +405,7 @@
     _tasks: JoinSet<()>,
 }
 
-/// Opens the listeners of an instance and starts its tasks.
+/// Opens the listeners of an instance and starts its tasks. Fails if an address is in use.
 pub async fn start(
     settings: ProxySettings,
     clock: SharedClock,
@@ -414,9 +420,9 @@
     let instance = ProxyInstance::create(settings, clock, peer_address)?;
     let mut tasks = JoinSet::new();
     tasks.spawn(peer_service::serve(peers, instance.clone()));
-    tasks.spawn(heartbeat::follow_list(instance.clone()));
+    tasks.spawn(heartbeat::poll_instance_list(instance.clone()));
     tasks.spawn(heartbeat::run(instance.clone()));
-    tasks.spawn(document::follow(instance.clone()));
+    tasks.spawn(document::poll_store(instance.clone()));
     tasks.spawn(reconciliation::run(instance.clone()));
     tasks.spawn(share_transfer::run(instance.clone()));
     tasks.spawn(listener::serve(callers, instance.clone()));
--- a/crates/proxy/src/ledger.rs
+++ b/crates/proxy/src/ledger.rs
@@ -1,4 +1,4 @@
-//! This instance's shares of the teams' limits: the ledger tied to the buckets.
+//! This instance's shares of the teams' limits, and the token buckets sized by them.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -15,77 +15,79 @@
 
 /// Weight of the newest measurement in the smoothed demand.
 const DEMAND_SMOOTHING: f64 = 0.5;
-/// Least demand that an instance states when it is short, as a part of the team's rate.
-const SHORT_DEMAND: f64 = 0.05;
+/// Lowest demand in a request for a grant, as a fraction of the team's rate.
+const MIN_SHORTAGE_DEMAND: f64 = 0.05;
 
-/// Team whose bucket a movement of shares changes.
+/// Token bucket of one team on this instance, with the team's configured limits.
 #[derive(Clone, Copy)]
-pub struct LimitedTeam<'a> {
-    /// Buckets of the instance.
+pub struct TeamBucket<'a> {
+    /// Limiter that contains the bucket.
     pub limiter: &'a TeamLimiter,
-    /// Key of the team.
-    pub key: TeamId,
-    /// Declared limits of the team.
+    /// Id of the team.
+    pub id: TeamId,
+    /// Configuration of the team, with its full rate and burst.
     pub entry: &'a TeamEntry,
 }
 
-impl LimitedTeam<'_> {
-    /// Brings the bucket in line with the share held.
+impl TeamBucket<'_> {
+    /// Sets rate and burst of the bucket to the held share of the team's limits.
     fn resize(&self, ledger: &ShareLedger, now: Instant) {
-        let part = ledger.share(self.key) as f64 / FULL_SHARE as f64;
-        let (rate, burst) = (self.entry.rate * part, self.entry.burst * part);
-        self.limiter.update(self.key, now, |bucket| bucket.resize(rate, burst, now));
+        let fraction = ledger.share(self.id) as f64 / FULL_SHARE as f64;
+        let (rate, burst) = (self.entry.rate * fraction, self.entry.burst * fraction);
+        self.limiter.update(self.id, now, |bucket| bucket.resize(rate, burst, now));
     }
 
-    /// Moves a part to a taker; the bucket shrinks first, so that the part is in use on one
-    /// instance at a time.
-    fn move_part(
+    /// Transfers a share to a recipient and returns the totals to send.
+    ///
+    /// The bucket shrinks before the totals are sent, so that only one instance at a time admits
+    /// requests with this share.
+    fn transfer_share(
         &self,
         ledger: &mut ShareLedger,
-        taker: Incarnation,
-        part: u64,
+        recipient: Incarnation,
+        amount: u64,
         now: Instant,
     ) -> TransferTotals {
-        let own = ledger.share(self.key);
-        let part = part.min(own);
-        if part == 0 {
-            return ledger.grant(self.key, taker, 0, 0.0);
+        let held_share = ledger.share(self.id);
+        let amount = amount.min(held_share);
+        if amount == 0 {
+            return ledger.grant(self.id, recipient, 0, 0.0);
         }
-        let tokens = self.limiter.update(self.key, now, |bucket| {
-            let moved = bucket.available(now) * part as f64 / own as f64;
-            bucket.take_up_to(moved, now)
+        let tokens = self.limiter.update(self.id, now, |bucket| {
+            let proportional_tokens = bucket.available(now) * amount as f64 / held_share as f64;
+            bucket.take_up_to(proportional_tokens, now)
         });
-        let totals = ledger.grant(self.key, taker, part, tokens);
+        let totals = ledger.grant(self.id, recipient, amount, tokens);
         self.resize(ledger, now);
         totals
     }
 }
 
-/// Ledger of this instance and the buckets that follow it.
+/// Share ledger of this instance. Its operations keep the token buckets in line with the shares.
 #[derive(Default)]
 pub struct InstanceLedger {
     ledger: Mutex<ShareLedger>,
-    measured_at: Mutex<Option<Instant>>,
+    demand_measured_at: Mutex<Option<Instant>>,
     shortage: Notify,
     short_teams: Mutex<SecondaryMap<TeamId, ()>>,
-    arrived: Notify,
+    grant_received: Notify,
     issued: Mutex<IssuedTeams>,
 }
 
-/// Teams whose whole this instance has issued or counted in an epoch that it started.
+/// Teams whose unreported share this instance has issued, in the latest epoch that it started.
 #[derive(Debug, Default)]
 struct IssuedTeams {
     epoch: u64,
-    names: HashSet<Arc<str>>,
+    team_names: HashSet<Arc<str>>,
 }
 
 impl InstanceLedger {
-    /// Returns the epoch of the shares.
+    /// Returns the current epoch of the ledger.
     pub fn epoch(&self) -> u64 {
         self.ledger.lock().epoch()
     }
 
-    /// Brings the buckets in line with a document: rates, bursts, teams that went.
+    /// Applies the limits of a new document and removes the teams that it no longer contains.
     pub fn apply_catalog(
         &self,
         before: &DocumentCatalog,
@@ -94,146 +96,154 @@
         now: Instant,
     ) {
         let mut ledger = self.ledger.lock();
-        for (key, _) in before.teams() {
-            if after.team(key).is_none() {
-                ledger.remove(key);
-                limiter.remove(key);
+        for (id, _) in before.teams() {
+            if after.team(id).is_none() {
+                ledger.remove(id);
+                limiter.remove(id);
             }
         }
-        for (key, entry) in after.teams() {
-            LimitedTeam { limiter, key, entry }.resize(&ledger, now);
+        for (id, entry) in after.teams() {
+            TeamBucket { limiter, id, entry }.resize(&ledger, now);
         }
     }
 
-    /// Measures what callers asked for since the last measurement.
-    pub fn measure(&self, catalog: &DocumentCatalog, limiter: &TeamLimiter, now: Instant) {
-        let Some(since) = self.measured_at.lock().replace(now) else {
+    /// Updates the smoothed demand of every team with the tokens requested since the last call.
+    pub fn measure_demand(&self, catalog: &DocumentCatalog, limiter: &TeamLimiter, now: Instant) {
+        let Some(since) = self.demand_measured_at.lock().replace(now) else {
             return;
         };
         let seconds = now.duration_since(since).as_secs_f64().max(0.001);
         let mut ledger = self.ledger.lock();
-        for (key, team) in catalog.teams() {
-            let asked = limiter.drain_asked(key) / seconds / team.rate.max(1e-9);
-            let demand = ledger.demand(key);
-            ledger.set_demand(key, demand + (asked - demand) * DEMAND_SMOOTHING);
+        for (id, team) in catalog.teams() {
+            let requested_rate = limiter.take_requested_tokens(id) / seconds / team.rate.max(1e-9);
+            let demand = ledger.demand(id);
+            ledger.set_demand(id, demand + (requested_rate - demand) * DEMAND_SMOOTHING);
         }
     }
 
-    /// Notes that a team had no token, and wakes the task that asks for more.
+    /// Records that a team has run out of tokens, and wakes the task that requests grants.
     pub fn record_shortage(&self, team: TeamId) {
         self.short_teams.lock().insert(team, ());
         self.shortage.notify_one();
     }
 
-    /// Waits for a shortage and returns the teams concerned.
+    /// Waits for a shortage and returns the teams that have run out of tokens.
     pub async fn wait_for_shortage(&self) -> Vec<TeamId> {
         self.shortage.notified().await;
         let short = std::mem::take(&mut *self.short_teams.lock());
         short.keys().collect()
     }
 
-    /// Waits until a share arrived or the time is over.
+    /// Waits until a share is received or issued, for at most `limit`.
     pub async fn wait_for_grant(&self, limit: Duration) {
-        let _ = tokio::time::timeout(limit, self.arrived.notified()).await;
+        let _ = tokio::time::timeout(limit, self.grant_received.notified()).await;
     }
 
-    /// Returns the share of a team and its demand.
-    pub fn holding(&self, team: TeamId) -> (u64, f64) {
+    /// Returns the share of a team in millionths, and its demand.
+    pub fn share_and_demand(&self, team: TeamId) -> (u64, f64) {
         let ledger = self.ledger.lock();
         (ledger.share(team), ledger.demand(team))
     }
 
-    /// Returns share and demand with which this instance asks for more.
-    pub fn ask_terms(&self, team: TeamId) -> (u64, f64) {
+    /// Returns the share and the demand that a request for a grant states.
+    ///
+    /// The demand is at least twice the held share, since the instance is short of tokens.
+    pub fn request_terms(&self, team: TeamId) -> (u64, f64) {
         let ledger = self.ledger.lock();
         let share = ledger.share(team);
-        let held = share as f64 / FULL_SHARE as f64;
-        (share, ledger.demand(team).max(2.0 * held).max(SHORT_DEMAND))
+        let held_fraction = share as f64 / FULL_SHARE as f64;
+        (share, ledger.demand(team).max(2.0 * held_fraction).max(MIN_SHORTAGE_DEMAND))
     }
 
-    /// Returns the parts that asking a peer is expected to bring.
-    pub fn expected_gift(&self, team: TeamId, peer_share: u64, peer_demand: f64) -> u64 {
-        let (share, demand) = self.ask_terms(team);
+    /// Returns the share, in millionths, that a peer is expected to grant on request.
+    pub fn expected_grant(&self, team: TeamId, peer_share: u64, peer_demand: f64) -> u64 {
+        let (share, demand) = self.request_terms(team);
         ledger::fair_grant(peer_share, peer_demand, share, demand)
     }
 
-    /// Gives a peer its part of a team's share and returns the totals to send.
-    pub fn give(
+    /// Grants a peer a fair part of a team's share and returns the totals to send.
+    pub fn grant(
         &self,
-        team: LimitedTeam<'_>,
-        taker: Incarnation,
-        taker_share: u64,
-        taker_demand: f64,
+        team: TeamBucket<'_>,
+        recipient: Incarnation,
+        recipient_share: u64,
+        recipient_demand: f64,
         now: Instant,
     ) -> TransferTotals {
         let mut ledger = self.ledger.lock();
-        let part = ledger.plan_grant(team.key, taker_share, taker_demand);
-        team.move_part(&mut ledger, taker, part, now)
+        let amount = ledger.plan_grant(team.id, recipient_share, recipient_demand);
+        team.transfer_share(&mut ledger, recipient, amount, now)
     }
 
-    /// Gives every share to a peer, for an instance that leaves.
-    pub fn give_everything(
+    /// Grants all shares to one peer, when this instance shuts down.
+    pub fn grant_all(
         &self,
         limiter: &TeamLimiter,
         catalog: &DocumentCatalog,
-        taker: Incarnation,
+        recipient: Incarnation,
         now: Instant,
     ) {
         let mut ledger = self.ledger.lock();
-        for (key, entry) in catalog.teams() {
-            let part = ledger.share(key);
-            LimitedTeam { limiter, key, entry }.move_part(&mut ledger, taker, part, now);
+        for (id, entry) in catalog.teams() {
+            let amount = ledger.share(id);
+            TeamBucket { limiter, id, entry }.transfer_share(&mut ledger, recipient, amount, now);
         }
     }
 
-    /// Takes what a peer's totals add, and grows the bucket.
-    pub fn take(
+    /// Receives the increase in a donor's totals and enlarges the bucket.
+    pub fn receive_grant(
         &self,
-        team: LimitedTeam<'_>,
-        giver: Incarnation,
+        team: TeamBucket<'_>,
+        donor: Incarnation,
         epoch: u64,
         totals: TransferTotals,
         now: Instant,
     ) {
         let mut ledger = self.ledger.lock();
-        let Some(grant) = ledger.receive_grant(team.key, giver, epoch, totals) else {
+        let Some(grant) = ledger.receive_grant(team.id, donor, epoch, totals) else {
             return;
         };
         team.resize(&ledger, now);
-        team.limiter.update(team.key, now, |bucket| bucket.add_tokens(grant.tokens, now));
+        team.limiter.update(team.id, now, |bucket| bucket.add_tokens(grant.tokens, now));
         drop(ledger);
-        self.arrived.notify_waiters();
+        self.grant_received.notify_waiters();
     }
 
-    /// Records what a peer has taken from this instance.
-    pub fn acknowledge(&self, key: TeamId, taker: Incarnation, epoch: u64, share: u64) {
-        self.ledger.lock().record_acknowledgement(key, taker, epoch, share);
+    /// Records the total share that a recipient has received from this instance.
+    pub fn record_acknowledgement(
+        &self,
+        id: TeamId,
+        recipient: Incarnation,
+        epoch: u64,
+        share: u64,
+    ) {
+        self.ledger.lock().record_acknowledgement(id, recipient, epoch, share);
     }
 
-    /// Returns the shares to tell a peer, with what it has not acknowledged.
-    pub fn shares_for(
+    /// Returns the shares to send to a peer, with the totals that it has not acknowledged.
+    pub fn team_shares(
         &self,
         catalog: &DocumentCatalog,
         peer: Option<Incarnation>,
     ) -> Vec<TeamShare> {
         let ledger = self.ledger.lock();
         let pending = peer.map(|peer| ledger.unacknowledged(peer)).unwrap_or_default();
-        let totals = |key: TeamId| {
-            let found = pending.iter().find(|(team, _)| *team == key);
-            found.map(|(_, totals)| *totals).unwrap_or_default()
+        let totals = |id: TeamId| {
+            let pending_totals = pending.iter().find(|(team, _)| *team == id);
+            pending_totals.map(|(_, totals)| *totals).unwrap_or_default()
         };
         let mut shares = Vec::new();
-        for (key, team) in catalog.teams() {
-            let given = totals(key);
-            let taken_share = peer.map_or(0, |peer| ledger.received_from(key, peer));
-            let (share, demand) = (ledger.share(key), ledger.demand(key));
-            if share > 0 || demand > 0.0 || given.share > 0 || taken_share > 0 {
+        for (id, team) in catalog.teams() {
+            let granted = totals(id);
+            let taken_share = peer.map_or(0, |peer| ledger.received_from(id, peer));
+            let (share, demand) = (ledger.share(id), ledger.demand(id));
+            if share > 0 || demand > 0.0 || granted.share > 0 || taken_share > 0 {
                 shares.push(TeamShare {
                     team: team.name.to_string(),
                     share,
                     demand,
-                    given_share: given.share,
-                    given_tokens: given.tokens,
+                    given_share: granted.share,
+                    given_tokens: granted.tokens,
                     taken_share,
                 });
             }
@@ -241,34 +251,34 @@
         shares
     }
 
-    /// Tells whether every peer has acknowledged what it was given.
-    pub fn is_settled(&self, peers: &[Incarnation]) -> bool {
+    /// Returns whether the given peers have acknowledged all grants.
+    pub fn is_acknowledged(&self, peers: &[Incarnation]) -> bool {
         let ledger = self.ledger.lock();
         peers.iter().all(|peer| ledger.unacknowledged(*peer).is_empty())
     }
 
-    /// Enters an epoch and returns the report of the shares held; none about a lower epoch.
+    /// Enters an epoch and returns the report of the held shares; none for a lower epoch.
     pub fn enter_epoch(&self, epoch: u64, catalog: &DocumentCatalog) -> Option<Vec<HeldShare>> {
         let mut ledger = self.ledger.lock();
         let report = ledger.enter_epoch(epoch)?;
-        let held = |(key, share): &(TeamId, u64)| {
-            let team = catalog.team(*key)?;
+        let to_held_share = |(id, share): &(TeamId, u64)| {
+            let team = catalog.team(*id)?;
             Some(HeldShare { team: team.name.to_string(), share: *share })
         };
-        Some(report.iter().filter_map(held).collect())
+        Some(report.iter().filter_map(to_held_share).collect())
     }
 
-    /// Records that the issuer counted the report of an epoch; false about another epoch.
-    pub fn confirm_epoch(&self, epoch: u64) -> bool {
+    /// Records that the issuer counted this instance's report; returns false for another epoch.
+    pub fn mark_epoch_counted(&self, epoch: u64) -> bool {
         self.ledger.lock().mark_epoch_counted(epoch)
     }
 
-    /// Tells whether the shares were reported and may not have been counted.
+    /// Returns whether the shares were reported and are not known to have been counted.
     pub fn is_provisional(&self) -> bool {
         self.ledger.lock().is_provisional()
     }
 
-    /// Enters an epoch without a counted report and loses every share.
+    /// Enters an epoch without a counted report and drops all shares.
     pub fn forfeit_epoch(
         &self,
         epoch: u64,
@@ -278,52 +288,54 @@
     ) {
         let mut ledger = self.ledger.lock();
         ledger.forfeit_epoch(epoch);
-        for (key, entry) in catalog.teams() {
-            LimitedTeam { limiter, key, entry }.resize(&ledger, now);
+        for (id, entry) in catalog.teams() {
+            TeamBucket { limiter, id, entry }.resize(&ledger, now);
         }
     }
 
-    /// Claims the right to issue what nobody reported in an epoch, at most once.
-    pub fn claim_issue(&self, epoch: u64) -> bool {
+    /// Claims the issuance of unreported shares for an epoch; succeeds at most once.
+    pub fn claim_issuance(&self, epoch: u64) -> bool {
         let claimed = self.ledger.lock().claim_issuance(epoch);
         if claimed {
-            *self.issued.lock() = IssuedTeams { epoch, names: HashSet::new() };
+            *self.issued.lock() = IssuedTeams { epoch, team_names: HashSet::new() };
         }
         claimed
     }
 
-    /// Adds parts of a team that nobody holds; only in an epoch that this instance started.
+    /// Issues a team's unreported share to this instance, at most once per team and epoch.
     ///
-    /// Tokens come along only if nothing can have been admitted before.
-    pub fn issue(&self, team: LimitedTeam<'_>, share: u64, tokens: f64, now: Instant) {
-        if !self.issued.lock().names.insert(team.entry.name.clone()) {
+    /// The epoch must be one that this instance started. `tokens` is zero unless no request can
+    /// have been admitted before.
+    pub fn issue(&self, team: TeamBucket<'_>, share: u64, tokens: f64, now: Instant) {
+        if !self.issued.lock().team_names.insert(team.entry.name.clone()) {
             return;
         }
         let mut ledger = self.ledger.lock();
-        ledger.issue(team.key, share);
+        ledger.issue(team.id, share);
         team.resize(&ledger, now);
-        team.limiter.update(team.key, now, |bucket| bucket.add_tokens(tokens, now));
+        team.limiter.update(team.id, now, |bucket| bucket.add_tokens(tokens, now));
         drop(ledger);
-        self.arrived.notify_waiters();
+        self.grant_received.notify_waiters();
     }
 
-    /// Issues teams that were declared after this instance started the current epoch.
+    /// Issues the full share of teams that were configured after this instance started the current
+    /// epoch.
     pub fn issue_new_teams(&self, catalog: &DocumentCatalog, limiter: &TeamLimiter, now: Instant) {
         let epoch = self.epoch();
         let new: Vec<_> = {
             let issued = self.issued.lock();
-            let is_new = |team: &TeamEntry| !issued.names.contains(&team.name);
-            let own = issued.epoch == epoch && epoch > 0;
-            catalog.teams().filter(|(_, team)| own && is_new(team)).collect()
+            let is_new = |team: &TeamEntry| !issued.team_names.contains(&team.name);
+            let is_issuer = issued.epoch == epoch && epoch > 0;
+            catalog.teams().filter(|(_, team)| is_issuer && is_new(team)).collect()
         };
-        for (key, entry) in new {
-            self.issue(LimitedTeam { limiter, key, entry }, FULL_SHARE, 0.0, now);
+        for (id, entry) in new {
+            self.issue(TeamBucket { limiter, id, entry }, FULL_SHARE, 0.0, now);
         }
     }
 
-    /// Returns the share of every team.
+    /// Returns the share of every team, in millionths.
     pub fn shares(&self, catalog: &DocumentCatalog) -> Vec<(TeamId, u64)> {
         let ledger = self.ledger.lock();
-        catalog.teams().map(|(key, _)| (key, ledger.share(key))).collect()
+        catalog.teams().map(|(id, _)| (id, ledger.share(id))).collect()
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! Proxy instance: callers' sessions, routing to members and its part of the coordination.
+//! Proxy instance: sessions of callers, routing to members, and coordination with other instances.
 
 pub mod cancel;
 pub mod counters;
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -91,7 +91,7 @@
 }
 
 async fn refuse(socket: &mut FramedSocket, instance: &ProxyInstance, refusal: &RequestRefusal) {
-    instance.counters.count_refusal(refusal.reason);
+    instance.counters.record_refusal(refusal.reason);
     log_event!(LogEvent::RequestRefused, "reason={} at startup", refusal.reason.label());
     let mut output = BytesMut::new();
     backend::put_refusal(&mut output, refusal, true);
--- a/crates/proxy/src/monitor.rs
+++ b/crates/proxy/src/monitor.rs
@@ -1,4 +1,4 @@
-//! Tasks that keep the view of a database's members current.
+//! Tasks that poll the status of a database's members and confirm the primary's leadership.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,56 +13,56 @@
 
 use crate::database::DatabaseHandle;
 
-/// Interval between two status questions to a member.
+/// Interval of status requests to a member.
 pub const STATUS_INTERVAL: Duration = Duration::from_millis(50);
-/// Time that a status answer may take.
+/// Timeout of a status request, and of the connection setup before it.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
-/// Interval between two proofs of the primary's position.
-const PROOF_INTERVAL: Duration = Duration::from_millis(50);
-/// Time that a proof may take.
-const PROOF_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Interval of leadership confirmations.
+const CONFIRMATION_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of a leadership confirmation.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Watches a database until the set is dropped.
-pub fn watch(database: &Arc<DatabaseHandle>) -> JoinSet<()> {
+/// Monitors a database until the returned set is dropped.
+pub fn monitor_database(database: &Arc<DatabaseHandle>) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     for index in 0..database.members.len() {
-        tasks.spawn(watch_member(database.clone(), index));
+        tasks.spawn(monitor_member(database.clone(), index));
     }
-    tasks.spawn(prove_primary(database.clone()));
+    tasks.spawn(monitor_leadership(database.clone()));
     tasks
 }
 
-async fn watch_member(database: Arc<DatabaseHandle>, index: usize) {
+async fn monitor_member(database: Arc<DatabaseHandle>, index: usize) {
     let mut ticks = interval(STATUS_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut connection = None;
     loop {
         ticks.tick().await;
-        // A failure counts only after a fresh connection failed as well: an old one may have
-        // been forgotten on the way while the member is well.
-        let mut answer = ask_status(&database, index, &mut connection).await;
-        if answer.is_err() && connection.take().is_some() {
-            answer = ask_status(&database, index, &mut connection).await;
+        // A failure counts only if a new connection fails as well: a network device on the path may
+        // have dropped the old connection although the member is healthy.
+        let mut result = request_status(&database, index, &mut connection).await;
+        if result.is_err() && connection.take().is_some() {
+            result = request_status(&database, index, &mut connection).await;
         }
-        match answer {
+        match result {
             Ok(status) => database.record_status(index, status, Instant::now()),
             Err(error) => {
                 connection = None;
-                database.record_loss(index, &error);
+                database.record_unreachable(index, &error);
             }
         }
         database.members[index].pool.evict_idle(Instant::now());
     }
 }
 
-async fn ask_status(
+async fn request_status(
     database: &DatabaseHandle,
     index: usize,
     connection: &mut Option<MemberConnection>,
 ) -> Result<MemberStatus, MemberError> {
     if connection.is_none() {
-        let open = timeout(STATUS_TIMEOUT, database.members[index].open_control()).await;
-        *connection = Some(open.map_err(|_| MemberError::Timeout { limit: STATUS_TIMEOUT })??);
+        let opened = timeout(STATUS_TIMEOUT, database.members[index].open_control()).await;
+        *connection = Some(opened.map_err(|_| MemberError::Timeout { limit: STATUS_TIMEOUT })??);
     }
     match connection {
         Some(connection) => connection.status(STATUS_TIMEOUT).await,
@@ -70,33 +70,37 @@
     }
 }
 
-/// Asks the primary again and again to prove its position through a majority.
-async fn prove_primary(database: Arc<DatabaseHandle>) {
-    let mut ticks = interval(PROOF_INTERVAL);
+/// Periodically asks the primary to confirm its leadership by a majority, and records its position.
+async fn monitor_leadership(database: Arc<DatabaseHandle>) {
+    let mut ticks = interval(CONFIRMATION_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut current: Option<(usize, MemberConnection)> = None;
+    let mut leader_connection: Option<(usize, MemberConnection)> = None;
     loop {
         ticks.tick().await;
         let Some((index, _)) = database.primary() else {
-            current = None;
+            leader_connection = None;
             continue;
         };
-        if current.as_ref().is_none_or(|(open, _)| *open != index) {
-            let open = database.members[index].open_control().await;
-            current = open.ok().map(|connection| (index, connection));
+        if leader_connection.as_ref().is_none_or(|(member, _)| *member != index) {
+            let opened = database.members[index].open_control().await;
+            leader_connection = opened.ok().map(|connection| (index, connection));
         }
-        let Some((_, connection)) = &mut current else {
+        let Some((_, connection)) = &mut leader_connection else {
             continue;
         };
-        let asked_at = Instant::now();
-        match timeout(PROOF_TIMEOUT, prove(connection)).await {
-            Ok(Ok(position)) => database.record_proof(asked_at, position),
-            _ => current = None,
+        let sent_at = Instant::now();
+        match timeout(CONFIRMATION_TIMEOUT, confirm_leadership(connection)).await {
+            Ok(Ok(position)) => database.record_leadership_confirmation(sent_at, position),
+            _ => leader_connection = None,
         }
     }
 }
 
-async fn prove(connection: &mut MemberConnection) -> Result<MemberPosition, MemberError> {
+/// Requests the status and then a leadership confirmation; the confirmation therefore covers the
+/// returned position.
+async fn confirm_leadership(
+    connection: &mut MemberConnection,
+) -> Result<MemberPosition, MemberError> {
     let mut output = BytesMut::new();
     frontend::put_query(&mut output, &GroupCommand::Status.to_string());
     frontend::put_query(&mut output, &GroupCommand::Confirm.to_string());
--- a/crates/proxy/src/peer_service.rs
+++ b/crates/proxy/src/peer_service.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of other instances.
+//! gRPC service for requests of other instances.
 
 use std::sync::Arc;
 
@@ -18,32 +18,32 @@
 use crate::instance::{InstancePhase, ProxyInstance};
 use crate::{document, heartbeat, reconciliation, share_transfer};
 
-/// Questions answered at once.
-const MAX_QUESTIONS: usize = 512;
+/// Limit on requests handled concurrently.
+const MAX_CONCURRENT_REQUESTS: usize = 512;
 
 /// Peer service of an instance.
 struct PeerService {
     instance: Arc<ProxyInstance>,
 }
 
-/// Serves other instances until the task ends.
+/// Serves requests of other instances until the task ends.
 pub async fn serve(listener: TcpListener, instance: Arc<ProxyInstance>) {
     let service = PeerServer::new(PeerService { instance });
     let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
     let served = Server::builder()
-        .layer(ConcurrencyLimitLayer::new(MAX_QUESTIONS))
+        .layer(ConcurrencyLimitLayer::new(MAX_CONCURRENT_REQUESTS))
         .add_service(service)
         .serve_with_incoming(incoming)
         .await;
     if let Err(error) = served {
-        log::error!("the peer service ended: {error}");
+        log::error!("peer service failed: {error}");
     }
 }
 
 #[tonic::async_trait]
 impl Peer for PeerService {
     async fn beat(&self, request: Request<BeatRequest>) -> Result<Response<BeatReply>, Status> {
-        heartbeat::answer(&self.instance, request.into_inner()).map(Response::new)
+        heartbeat::handle_heartbeat(&self.instance, request.into_inner()).map(Response::new)
     }
 
     async fn fetch_document(
@@ -72,7 +72,7 @@
             let source =
                 instance.peers.find(|peer| peer.address.to_string() == announcement.source);
             if let Some(source) = source {
-                document::fetch_from(instance.clone(), source.handle);
+                document::fetch_from_peer(instance.clone(), source.client);
             }
         }
         Ok(Response::new(AnnouncementReply { revision: instance.revision() }))
@@ -99,14 +99,20 @@
         &self,
         request: Request<ShareRequest>,
     ) -> Result<Response<ShareReply>, Status> {
-        Ok(Response::new(share_transfer::answer(&self.instance, &request.into_inner())))
+        Ok(Response::new(share_transfer::handle_grant_request(
+            &self.instance,
+            &request.into_inner(),
+        )))
     }
 
     async fn census(
         &self,
         request: Request<CensusRequest>,
     ) -> Result<Response<CensusReply>, Status> {
-        Ok(Response::new(reconciliation::answer(&self.instance, request.into_inner())))
+        Ok(Response::new(reconciliation::handle_report_request(
+            &self.instance,
+            request.into_inner(),
+        )))
     }
 
     async fn report(&self, _: Request<ReportRequest>) -> Result<Response<ReportReply>, Status> {
@@ -117,8 +123,8 @@
 fn report(instance: &ProxyInstance) -> ReportReply {
     let catalog = instance.catalog();
     let shares = instance.ledger.shares(&catalog);
-    let held = |(key, share): (_, u64)| {
-        let team = catalog.team(key)?;
+    let to_held_share = |(id, share): (_, u64)| {
+        let team = catalog.team(id)?;
         Some(HeldShare { team: team.name.to_string(), share })
     };
     let databases = instance.databases();
@@ -126,16 +132,16 @@
         summary: Some(heartbeat::summary(instance)),
         callers: instance.callers.load(std::sync::atomic::Ordering::Relaxed) as u64,
         phase: phase_label(instance.phase()).to_owned(),
-        members: databases.iter().flat_map(|database| members(instance, database)).collect(),
-        shares: shares.into_iter().filter_map(held).collect(),
+        members: databases.iter().flat_map(|database| member_reports(instance, database)).collect(),
+        shares: shares.into_iter().filter_map(to_held_share).collect(),
     }
 }
 
-fn members(instance: &ProxyInstance, database: &DatabaseHandle) -> Vec<MemberReport> {
+fn member_reports(instance: &ProxyInstance, database: &DatabaseHandle) -> Vec<MemberReport> {
     let now = instance.now();
     let report = |(index, member): (usize, &crate::database::MemberHandle)| {
-        let record = member.last_state();
-        let position = record.status.map(|status| status.position);
+        let state = member.last_state();
+        let position = state.status.map(|status| status.position);
         MemberReport {
             database: database.name.to_string(),
             member: member.name.to_string(),
@@ -143,8 +149,10 @@
             role: position.map_or('?', |position| position.role.letter()).to_string(),
             term: position.map_or(0, |position| position.term),
             applied: position.map_or(0, |position| position.applied),
-            reachable: record.reachable,
-            age_ms: database.age(index, now).map(|age| age.as_millis() as u64),
+            reachable: state.reachable,
+            age_ms: database
+                .staleness_bound(index, now)
+                .map(|staleness_bound| staleness_bound.as_millis() as u64),
         }
     };
     database.members.iter().enumerate().map(report).collect()
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other instances: who is listed, how to reach them, what they last said.
+//! Directory of the other instances: address, last reported state and shares.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,35 +17,35 @@
 /// Share and demand of a team on another instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeerShare {
-    /// Parts that the peer holds.
+    /// Share that the peer holds, in millionths.
     pub share: u64,
-    /// What callers ask of the peer, as a part of the team's rate.
+    /// Demand of the peer's callers, as a fraction of the team's rate.
     pub demand: f64,
 }
 
-/// What this instance knows of another one.
+/// Last known state of another instance.
 #[derive(Clone, Debug)]
 pub struct PeerEntry {
     /// Name of the instance.
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Address for peers.
+    /// Address on which the instance accepts peers.
     pub address: SocketAddr,
-    /// Channel to the instance.
-    pub handle: PeerHandle,
-    /// Tells that the platform lists the instance as leaving.
+    /// gRPC client of the instance.
+    pub client: PeerHandle,
+    /// Whether the platform lists the instance as leaving.
     pub listed_leaving: bool,
-    /// What the instance last said of itself.
+    /// State that the instance last reported.
     pub summary: Option<InstanceSummary>,
-    /// When it last answered.
-    pub answered_at: Option<Instant>,
+    /// Time of the last message from the instance.
+    pub last_contact_at: Option<Instant>,
     /// Shares of the teams on the instance.
     pub shares: SecondaryMap<TeamId, PeerShare>,
 }
 
 impl PeerEntry {
-    /// Returns the number that the instance drew when it started, once it has answered.
+    /// Returns the incarnation of the instance; none before its first message.
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.summary.as_ref().map(|summary| summary.incarnation)
     }
@@ -58,8 +58,8 @@
 }
 
 impl PeerDirectory {
-    /// Takes over the platform's list; `own` is left out.
-    pub fn update(&self, own: &str, list: &[InstanceRecord]) {
+    /// Applies the platform's list of instances, without the instance `own_name`.
+    pub fn update(&self, own_name: &str, list: &[InstanceRecord]) {
         let mut entries = self.entries.write();
         entries.retain(|name, _| {
             let listed = list.iter().any(|record| record.name == *name);
@@ -68,16 +68,16 @@
             }
             listed
         });
-        for record in list.iter().filter(|record| record.name != own) {
-            let same = entries
+        for record in list.iter().filter(|record| record.name != own_name) {
+            let existing = entries
                 .get_mut(&record.name)
                 .filter(|entry| entry.address == record.peer && entry.zone == record.zone);
-            let leaving = record.state == InstanceState::Leaving;
-            match same {
-                Some(entry) => entry.listed_leaving = leaving,
+            let is_leaving = record.state == InstanceState::Leaving;
+            match existing {
+                Some(entry) => entry.listed_leaving = is_leaving,
                 None => {
                     log_event!(LogEvent::PeerFound, "peer={} at {}", record.name, record.peer);
-                    entries.insert(record.name.clone(), new_entry(record, leaving));
+                    entries.insert(record.name.clone(), new_entry(record, is_leaving));
                 }
             }
         }
@@ -93,16 +93,16 @@
         self.entries.read().values().find(|entry| condition(entry)).cloned()
     }
 
-    /// Tells whether a condition holds for some listed instance, without copying any.
+    /// Returns whether a condition holds for any listed instance, without cloning entries.
     pub fn any(&self, condition: impl Fn(&PeerEntry) -> bool) -> bool {
         self.entries.read().values().any(condition)
     }
 
-    /// Returns the names of listed instances that do not leave.
-    pub fn names(&self) -> Vec<String> {
+    /// Returns the names of the listed instances that are not leaving.
+    pub fn active_names(&self) -> Vec<String> {
         let entries = self.entries.read();
-        let staying = entries.values().filter(|entry| !entry.listed_leaving);
-        staying.map(|entry| entry.name.clone()).collect()
+        let active = entries.values().filter(|entry| !entry.listed_leaving);
+        active.map(|entry| entry.name.clone()).collect()
     }
 
     /// Returns the number of listed instances.
@@ -110,20 +110,20 @@
         self.entries.read().len()
     }
 
-    /// Tells whether no other instance is listed.
+    /// Returns whether no other instance is listed.
     pub fn is_empty(&self) -> bool {
         self.entries.read().is_empty()
     }
 
-    /// Records what a peer said of itself.
-    pub fn record(&self, name: &str, summary: InstanceSummary, now: Instant) {
+    /// Records the state that a peer reported, and clears its shares if it has restarted.
+    pub fn record_summary(&self, name: &str, summary: InstanceSummary, now: Instant) {
         if let Some(entry) = self.entries.write().get_mut(name) {
-            let same = entry.incarnation() == Some(summary.incarnation);
-            if !same {
+            let same_incarnation = entry.incarnation() == Some(summary.incarnation);
+            if !same_incarnation {
                 entry.shares.clear();
             }
             entry.summary = Some(summary);
-            entry.answered_at = Some(now);
+            entry.last_contact_at = Some(now);
         }
     }
 
@@ -137,15 +137,15 @@
     }
 }
 
-fn new_entry(record: &InstanceRecord, leaving: bool) -> PeerEntry {
+fn new_entry(record: &InstanceRecord, is_leaving: bool) -> PeerEntry {
     PeerEntry {
         name: record.name.clone(),
         zone: record.zone.clone(),
         address: record.peer,
-        handle: peer::connect_lazy(record.peer),
-        listed_leaving: leaving,
+        client: peer::connect_lazy(record.peer),
+        listed_leaving: is_leaving,
         summary: None,
-        answered_at: None,
+        last_contact_at: None,
         shares: SecondaryMap::new(),
     }
 }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -146,7 +146,7 @@
             }
         };
         if let SessionEnd::Refused(refusal) = &end {
-            self.instance.counters.count_refusal(refusal.reason);
+            self.instance.counters.record_refusal(refusal.reason);
             log_event!(LogEvent::RequestRefused, "reason={}", refusal.reason.label());
             backend::put_refusal(&mut self.output, refusal, true);
             if self.socket.write(&self.output).await.is_ok() {
@@ -275,7 +275,7 @@
 
     /// Tells the caller that its request was refused.
     async fn refuse(&mut self, refusal: RequestRefusal, synced: bool) -> Result<(), SessionEnd> {
-        self.instance.counters.count_refusal(refusal.reason);
+        self.instance.counters.record_refusal(refusal.reason);
         log_event!(
             LogEvent::RequestRefused,
             "reason={} process={}",
--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -225,7 +225,7 @@
                 AttemptEnd::Refused(refusal) => return Ok(Err(refusal)),
                 AttemptEnd::Retry(reason) => reason,
             };
-            self.instance.counters.count_retry(reason);
+            self.instance.counters.record_retry(reason);
             log_event!(LogEvent::RequestRetried, "reason={}", reason.label());
             primary_only |= reason == RetryReason::StaleResponse;
             if self.instance.now() + backoff >= terms.deadline {
@@ -481,7 +481,7 @@
 
     fn count_read(&self, request: &CallerRequest, target: &AttemptTarget) {
         if request.class.kind == StatementKind::Read {
-            self.instance.counters.count_read(target.term.is_none());
+            self.instance.counters.record_read(target.term.is_none());
         }
     }
 }
