--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -100,7 +100,7 @@
     instance: &ProxyInstance,
     refusal: &RequestRefusal,
 ) {
-    instance.counters.refused(refusal.reason);
+    instance.counters.record_refusal(refusal.reason);
     log_event!(LogEvent::RequestRefused, "reason={} at startup", refusal.reason.label());
     let mut output = BytesMut::new();
     backend::put_refusal(&mut output, refusal, true);
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -147,7 +147,7 @@
             }
         };
         if let SessionEnd::Refused(refusal) = &end {
-            self.instance.counters.refused(refusal.reason);
+            self.instance.counters.record_refusal(refusal.reason);
             log_event!(LogEvent::RequestRefused, "reason={}", refusal.reason.label());
             backend::put_refusal(&mut self.output, refusal, true);
             if self.socket.write(&self.output).await.is_ok() {
@@ -292,7 +292,7 @@
         refusal: RequestRefusal,
         ends_with_sync: bool,
     ) -> Result<(), SessionEnd> {
-        self.instance.counters.refused(refusal.reason);
+        self.instance.counters.record_refusal(refusal.reason);
         log_event!(
             LogEvent::RequestRefused,
             "reason={} process={}",
--- a/crates/proxy/src/session/admission.rs
+++ b/crates/proxy/src/session/admission.rs
@@ -11,7 +11,7 @@
 use super::request::CallerRequest;
 use super::{CallerSession, SessionEnd};
 use crate::instance::InstancePhase;
-use crate::share;
+use crate::share_transfer;
 
 /// Bounds the wait of a request for a share that another instance is expected to grant.
 const SHARE_TIMEOUT: Duration = Duration::from_millis(100);
@@ -54,8 +54,8 @@
         if self.key.is_some_and(|key| !team.keys.contains(&key)) {
             return refuse(RefusalReason::KeyRevoked, "the key was withdrawn");
         }
-        let catalog_entry = catalog.database(self.database.key);
-        let handle = self.instance.database(self.database.key);
+        let catalog_entry = catalog.database(self.database.id);
+        let handle = self.instance.database(self.database.id);
         let (Some(database_entry), Some(handle)) = (catalog_entry, handle) else {
             return refuse(RefusalReason::UnknownDatabase, "the database is no longer declared");
         };
@@ -139,12 +139,12 @@
             let Err(delay) = result else {
                 return Ok(());
             };
-            instance.book.note_shortage(self.team);
+            instance.ledger.record_shortage(self.team);
             let now = instance.now();
-            let grant_expected =
-                now < requested_at + SHARE_TIMEOUT && share::is_gift_expected(&instance, self.team);
+            let grant_expected = now < requested_at + SHARE_TIMEOUT
+                && share_transfer::is_grant_expected(&instance, self.team);
             if grant_expected {
-                instance.book.wait_for_arrival(SHARE_POLL_INTERVAL).await;
+                instance.ledger.wait_for_grant(SHARE_POLL_INTERVAL).await;
             } else if self.pinned.is_some() && now + delay.retry_after <= deadline {
                 tokio::time::sleep(delay.retry_after).await;
             } else {
@@ -152,7 +152,7 @@
                 let refusal = RequestRefusal::new(RefusalReason::RateExceeded, detail);
                 return Err(refusal.with_retry_after(delay.retry_after));
             }
-            result = instance.limiter.retake(self.team, cost, instance.now());
+            result = instance.limiter.retry_take(self.team, cost, instance.now());
         }
     }
 }
--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -151,7 +151,7 @@
         let may_commit = request.may_commit(self.transaction_state != TransactionState::Idle)
             && self.transaction_state != TransactionState::Failed;
         let plan = ExchangePlan {
-            label: may_commit.then(|| self.instance.next_label()),
+            label: may_commit.then(|| self.instance.next_transaction_label()),
             confirm_commit: may_commit,
             in_transaction: true,
             ..ExchangePlan::default()
@@ -234,9 +234,9 @@
                 AttemptOutcome::Refused(refusal) => return Ok(Err(refusal)),
                 AttemptOutcome::Retry(reason) => reason,
             };
-            self.instance.counters.retried(reason);
+            self.instance.counters.record_retry(reason);
             log_event!(LogEvent::RequestRetried, "reason={}", reason.label());
-            primary_only |= reason == RetryReason::StaleAnswer;
+            primary_only |= reason == RetryReason::StaleResponse;
             if self.instance.now() + backoff >= policy.deadline {
                 break;
             }
@@ -276,7 +276,7 @@
                 self.database.route_write()
             };
             if let RouteTarget::Primary(member_index) = target {
-                let status = self.database.members[member_index].record().status;
+                let status = self.database.members[member_index].last_state().status;
                 let term = status.map(|status| status.position.term);
                 return Ok(AttemptTarget { member_index, term, required_position: min_position });
             }
@@ -305,7 +305,7 @@
             confirm_leadership: target.term.is_some()
                 && target.required_position.is_none()
                 && !is_write,
-            label: may_commit.then(|| self.instance.next_label()),
+            label: may_commit.then(|| self.instance.next_transaction_label()),
             confirm_commit: may_commit && request.ends_with_sync,
             required_position: target.required_position,
             on_replica: target.term.is_none(),
@@ -325,7 +325,7 @@
             ExchangeOutcome::NotExecuted => Ok(AttemptOutcome::Retry(RetryReason::NotPrimary)),
             ExchangeOutcome::Stale => {
                 log_event!(LogEvent::AnswerStale, "database={}", self.database_entry.name);
-                Ok(AttemptOutcome::Retry(RetryReason::StaleAnswer))
+                Ok(AttemptOutcome::Retry(RetryReason::StaleResponse))
             }
             ExchangeOutcome::ConnectionLost(error) => {
                 log_event!(
@@ -370,11 +370,11 @@
             }
             ResolvedOutcome::Absent => {
                 self.output.clear();
-                AttemptOutcome::Retry(RetryReason::ProvedAbsent)
+                AttemptOutcome::Retry(RetryReason::NotExecuted)
             }
             _ if policy.is_idempotent() => {
                 self.output.clear();
-                AttemptOutcome::Retry(RetryReason::IdempotentLost)
+                AttemptOutcome::Retry(RetryReason::IdempotentWriteLost)
             }
             _ => {
                 self.output.clear();
@@ -420,7 +420,7 @@
     /// Waits until the target is no longer the primary; pending forever for a replica.
     async fn wait_until_replaced(&self, target: &AttemptTarget) {
         match target.term {
-            Some(term) => self.database.replaced(target.member_index, term).await,
+            Some(term) => self.database.wait_until_replaced(target.member_index, term).await,
             None => std::future::pending().await,
         }
     }
@@ -449,8 +449,8 @@
         let database = self.database.clone();
         let member_unavailable = async {
             match term {
-                _ if plan.on_replica => database.lost(member_index).await,
-                Some(term) => database.replaced(member_index, term).await,
+                _ if plan.on_replica => database.wait_until_unreachable(member_index).await,
+                Some(term) => database.wait_until_replaced(member_index, term).await,
                 None => std::future::pending().await,
             }
         };
@@ -509,7 +509,7 @@
 
     fn count_read(&self, request: &CallerRequest, target: &AttemptTarget) {
         if request.class.kind == StatementKind::Read {
-            self.instance.counters.read(target.term.is_none());
+            self.instance.counters.record_read(target.term.is_none());
         }
     }
 }
