--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -12,7 +12,7 @@
 use proxy::instance::{self, InstanceError, RunningInstance};
 use proxy::settings::{MemberAddress, ProxySettings};
 use snafu::{ResultExt as _, Snafu};
-use standin::control::{self, StandinHub};
+use standin::control::{self, StandinServices};
 use standin::group::{DatabaseGroup, GroupError, GroupSettings, MemberSettings};
 use state::credential::{KeyHash, generate_key};
 use tokio::net::TcpListener;
@@ -128,7 +128,7 @@
     /// Choices it was started with.
     pub options: LabOptions,
     /// Stand-ins.
-    pub hub: Arc<StandinHub>,
+    pub hub: Arc<StandinServices>,
     /// Proxy instances.
     pub instances: Vec<RunningInstance>,
     /// Relays between each instance and the platform.
@@ -149,7 +149,7 @@
 impl LabEnvironment {
     /// Starts an environment and waits until every instance serves.
     pub async fn start(options: LabOptions) -> Result<Self, LabError> {
-        let hub = Arc::new(StandinHub::default());
+        let hub = Arc::new(StandinServices::default());
         let mut tasks = JoinSet::new();
         let members = start_groups(&hub, &options).await?;
         let (listener, control) = listen(options.control_port).await?;
@@ -266,7 +266,7 @@
 }
 
 async fn start_groups(
-    hub: &StandinHub,
+    hub: &StandinServices,
     options: &LabOptions,
 ) -> Result<Vec<MemberAddress>, LabError> {
     let profile = &options.profile;
--- a/crates/lab/tests/administration.rs
+++ b/crates/lab/tests/administration.rs
@@ -12,7 +12,7 @@
 use reqwest::{Client, Response, StatusCode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use standin::control::{self, StandinHub};
+use standin::control::{self, StandinServices};
 use standin::platform::PlatformFault;
 use state::credential::KeyHash;
 use tokio::net::TcpListener;
@@ -23,7 +23,7 @@
 
 /// Platform with the APIs of a trial and a production environment.
 struct Platform {
-    hub: Arc<StandinHub>,
+    hub: Arc<StandinServices>,
     trial: SocketAddr,
     production: SocketAddr,
 }
@@ -51,7 +51,7 @@
 }
 
 async fn start() -> Platform {
-    let hub = Arc::new(StandinHub::default());
+    let hub = Arc::new(StandinServices::default());
     let (listener, platform) = listen().await;
     tokio::spawn(control::serve(listener, hub.clone()));
     let trial = start_admin(platform, "trial", None).await;
--- a/crates/load/src/soak.rs
+++ b/crates/load/src/soak.rs
@@ -29,10 +29,10 @@
         let playing: Vec<_> = playing.collect();
         for (seed, run) in playing {
             match run.await {
-                Ok(Ok(report)) if report.broken.is_empty() => print(seed, &report),
+                Ok(Ok(report)) if report.violations.is_empty() => print(seed, &report),
                 Ok(Ok(report)) => {
                     print(seed, &report);
-                    report.broken.iter().for_each(|line| println!("  {line}"));
+                    report.violations.iter().for_each(|line| println!("  {line}"));
                     failed.push(seed);
                 }
                 Ok(Err(message)) => {
@@ -50,10 +50,10 @@
 }
 
 fn print(seed: u64, report: &SoakReport) {
-    let SoakReport { broken, faults, writes, reads } = report;
+    let SoakReport { violations, faults, writes, reads } = report;
     println!(
         "seed {seed}: {} broken, {faults} faults, {writes} writes, {reads} reads",
-        broken.len()
+        violations.len()
     );
 }
 
@@ -62,14 +62,14 @@
     std::fs::create_dir_all(&folder).map_err(|error| error.to_string())?;
     let settings = SoakSettings {
         seed,
-        time: Duration::from_secs(options.seconds),
+        fault_period: Duration::from_secs(options.seconds),
         instances: options.instances,
         callers: options.callers,
         program: options.program.clone().unwrap_or_else(sibling_program),
         folder: folder.clone(),
     };
     let report = play(&settings).await.map_err(|error| error.to_string())?;
-    if report.broken.is_empty() {
+    if report.violations.is_empty() {
         // Logs of a run that kept its promises are of no further use.
         std::fs::remove_dir_all(&folder).map_err(|error| error.to_string())?;
     }
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -62,8 +62,12 @@
         let instance = random.random_range(0..instances);
         let member = random.random_range(0..members);
         let delay = Duration::from_millis(random.random_range(20..250));
-        let modes =
-            [RelayMode::Delay(delay), RelayMode::CutForth, RelayMode::CutBack, RelayMode::Dark];
+        let modes = [
+            RelayMode::Delay(delay),
+            RelayMode::DropToTarget,
+            RelayMode::DropFromTarget,
+            RelayMode::DropAll,
+        ];
         let mode = modes[random.random_range(0..modes.len())];
         let action = match random.random_range(0..15) {
             0 => FaultAction::Pause(instance),
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/invariants.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use standin::fleet::group::LineGroupState;
-use standin::fleet::store::PromotionCall;
+use standin::gateway_platform::group::GroupState;
+use standin::gateway_platform::row_store::PromotionRequest;
 
 use crate::caller::{CallerHistory, ToldOutcome};
 
@@ -13,8 +13,8 @@
 /// Returns every promise that was broken, one line each.
 pub fn judge(
     history: &CallerHistory,
-    group: &LineGroupState,
-    promotions: &[PromotionCall],
+    group: &GroupState,
+    promotions: &[PromotionRequest],
 ) -> Vec<String> {
     let mut broken = history.breaches.clone();
     judge_writes(history, group, &mut broken);
@@ -23,7 +23,7 @@
     broken
 }
 
-fn judge_writes(history: &CallerHistory, group: &LineGroupState, broken: &mut Vec<String>) {
+fn judge_writes(history: &CallerHistory, group: &GroupState, broken: &mut Vec<String>) {
     let mut kept: HashMap<&str, usize> = HashMap::new();
     let mut rolled_back: HashSet<&str> = HashSet::new();
     for data in group.committed() {
@@ -54,9 +54,9 @@
     }
 }
 
-fn judge_runs(group: &LineGroupState, broken: &mut Vec<String>) {
+fn judge_runs(group: &GroupState, broken: &mut Vec<String>) {
     let mut places: HashMap<&str, HashSet<u64>> = HashMap::new();
-    for run in group.members.iter().flat_map(|member| &member.runs) {
+    for run in group.members.iter().flat_map(|member| &member.executed) {
         if run.team != CALLER_TEAM {
             broken.push(format!("{} ran for team {}", run.id, run.team));
         }
@@ -77,7 +77,7 @@
     broken.extend(moved.map(|(id, _)| format!("{id} ran on several connections")));
 }
 
-fn judge_promotions(promotions: &[PromotionCall], broken: &mut Vec<String>) {
+fn judge_promotions(promotions: &[PromotionRequest], broken: &mut Vec<String>) {
     let mut holders: HashMap<u64, &str> = HashMap::new();
     for call in promotions {
         let known = holders.entry(call.token).or_insert(&call.holder);
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -3,6 +3,6 @@
 pub mod caller;
 pub mod fault;
 pub mod instance;
+pub mod invariants;
 pub mod relay;
 pub mod run;
-pub mod verdict;
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -25,15 +25,15 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RelayMode {
     /// They pass.
-    Pass,
+    Forward,
     /// They pass late.
     Delay(Duration),
     /// Those towards the target are swallowed.
-    CutForth,
+    DropToTarget,
     /// Those from the target are swallowed.
-    CutBack,
+    DropFromTarget,
     /// All are swallowed, on new connections too.
-    Dark,
+    DropAll,
 }
 
 #[derive(Debug)]
@@ -61,7 +61,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let state = Arc::new(RelayState {
-            mode: watch::channel(RelayMode::Pass).0,
+            mode: watch::channel(RelayMode::Forward).0,
             silenced: AtomicU64::new(0),
             resets: watch::channel(0).0,
             opened: AtomicU64::new(0),
@@ -125,10 +125,10 @@
         let mode = *state.mode.borrow();
         let swallowed = number <= state.silenced.load(Ordering::Relaxed)
             || match mode {
-                RelayMode::Pass | RelayMode::Delay(_) => false,
-                RelayMode::CutForth => direction == ByteDirection::Forth,
-                RelayMode::CutBack => direction == ByteDirection::Back,
-                RelayMode::Dark => true,
+                RelayMode::Forward | RelayMode::Delay(_) => false,
+                RelayMode::DropToTarget => direction == ByteDirection::Forth,
+                RelayMode::DropFromTarget => direction == ByteDirection::Back,
+                RelayMode::DropAll => true,
             };
         let read = match read {
             // A cut hides the end of a connection, too.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -9,17 +9,17 @@
 use rustix::process::Signal;
 use serde_json::json;
 use snafu::{ResultExt, Snafu};
-use standin::fleet::group::{LineGroup, LineGroupState};
-use standin::fleet::member;
-use standin::fleet::store::FleetStore;
+use standin::gateway_platform::group::{GroupState, SharedGroup};
+use standin::gateway_platform::member;
+use standin::gateway_platform::row_store::RowStore;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use crate::caller::{CALLER_KEY, SharedHistory, SoakCaller};
 use crate::fault::{FaultAction, plan};
 use crate::instance::{InstancePlace, InstanceProcess};
+use crate::invariants::{CALLER_TEAM, judge};
 use crate::relay::{FaultRelay, RelayMode};
-use crate::verdict::{CALLER_TEAM, judge};
 
 /// Members of the group.
 const MEMBERS: usize = 3;
@@ -52,7 +52,7 @@
     /// Seed of faults and callers.
     pub seed: u64,
     /// Time during which faults begin.
-    pub time: Duration,
+    pub fault_period: Duration,
     /// Instances.
     pub instances: usize,
     /// Callers.
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct SoakReport {
     /// Promises that were broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Faults that were played.
     pub faults: usize,
     /// Writes that were tried.
@@ -80,8 +80,8 @@
 
 /// Everything that runs.
 struct SoakField {
-    store: FleetStore,
-    group: LineGroup,
+    store: RowStore,
+    group: SharedGroup,
     member_relays: Vec<FaultRelay>,
     store_relays: Vec<FaultRelay>,
     processes: Vec<SharedProcess>,
@@ -106,7 +106,7 @@
         let caller = SoakCaller::new(number, settings.seed, addresses.clone(), history.clone());
         callers.push(tokio::spawn(caller.run(stopped.clone())));
     }
-    let faults = plan(settings.seed, settings.time, settings.instances, MEMBERS);
+    let faults = plan(settings.seed, settings.fault_period, settings.instances, MEMBERS);
     let begun_at = Instant::now();
     let mut playing = Vec::new();
     for fault in &faults {
@@ -131,17 +131,17 @@
     let mut broken = judge(&history, &field.group.lock(), &field.store.promotions());
     broken.extend(field.failures.lock().drain(..));
     let (writes, reads) = (history.writes.len(), history.reads);
-    Ok(SoakReport { broken, faults: faults.len(), writes, reads })
+    Ok(SoakReport { violations: broken, faults: faults.len(), writes, reads })
 }
 
 impl SoakField {
     async fn start(settings: &SoakSettings) -> Result<Self, SoakError> {
-        let store = FleetStore::default();
+        let store = RowStore::default();
         let store_address = store.serve().await.context(IoSnafu)?;
         let ids: Vec<String> = (1..=MEMBERS).map(|number| format!("m-{number}")).collect();
         let names: Vec<&str> = ids.iter().map(String::as_str).collect();
-        let group = LineGroupState::new(SERVICE, &names);
-        store.add_group(group.clone());
+        let group = GroupState::new(SERVICE, &names);
+        store.register_group(group.clone());
         let mut member_relays = Vec::new();
         for index in 0..MEMBERS {
             let address = member::serve(group.clone(), index).await.context(IoSnafu)?;
@@ -242,7 +242,7 @@
             FaultAction::MemberWay(index, mode) => {
                 self.member_relays[index].set_mode(mode);
                 sleep(length).await;
-                self.member_relays[index].set_mode(RelayMode::Pass);
+                self.member_relays[index].set_mode(RelayMode::Forward);
                 // Bytes that were swallowed leave the connection useless.
                 self.member_relays[index].reset();
             }
@@ -251,23 +251,24 @@
             FaultAction::StoreWay(index, mode) => {
                 self.store_relays[index].set_mode(mode);
                 sleep(length).await;
-                self.store_relays[index].set_mode(RelayMode::Pass);
+                self.store_relays[index].set_mode(RelayMode::Forward);
             }
             FaultAction::StoreSilence(index) => self.store_relays[index].silence(),
             FaultAction::StoreDown => {
-                self.store.set_down(true);
+                self.store.set_unavailable(true);
                 sleep(length).await;
-                self.store.set_down(false);
+                self.store.set_unavailable(false);
             }
-            FaultAction::StoreCompact => self.store.compact(),
+            FaultAction::StoreCompact => self.store.compact_history(),
             FaultAction::MemberDark(index) => {
-                self.misbehave(index, length, |faults, on| faults.silent = on).await
+                self.misbehave(index, length, |faults, on| faults.unresponsive = on).await
             }
             FaultAction::MemberLags(index) => {
-                self.misbehave(index, length, |faults, on| faults.lags = on).await
+                self.misbehave(index, length, |faults, on| faults.replication_stopped = on).await
             }
             FaultAction::MemberLoses(index) => {
-                self.misbehave(index, length, |faults, on| faults.loses_commits = on).await;
+                self.misbehave(index, length, |faults, on| faults.loses_commit_responses = on)
+                    .await;
             }
             FaultAction::MemberGrey(index) => {
                 self.misbehave(index, length, |faults, on| faults.fails_reads = on).await;
@@ -281,7 +282,7 @@
         &self,
         index: usize,
         length: Duration,
-        set: impl Fn(&mut standin::fleet::group::MemberFaults, bool),
+        set: impl Fn(&mut standin::gateway_platform::group::MemberFaults, bool),
     ) {
         set(&mut self.group.lock().members[index].faults, true);
         sleep(length).await;
--- a/crates/soak/tests/verdicts.rs
+++ b/crates/soak/tests/invariants.rs
@@ -4,17 +4,17 @@
 
 use soak::caller::{CallerHistory, ToldOutcome, TriedWrite};
 use soak::fault::plan;
-use soak::verdict::{CALLER_TEAM, judge};
-use standin::fleet::group::{LineGroupState, StatementRun};
-use standin::fleet::store::PromotionCall;
+use soak::invariants::{CALLER_TEAM, judge};
+use standin::gateway_platform::group::{ExecutedStatement, GroupState};
+use standin::gateway_platform::row_store::PromotionRequest;
 
 fn write(data: &str, told: ToldOutcome) -> TriedWrite {
     TriedWrite { item: "i1".to_owned(), data: data.to_owned(), told }
 }
 
-fn statement(id: &str, connection: u64, in_transaction: bool) -> StatementRun {
+fn statement(id: &str, connection: u64, in_transaction: bool) -> ExecutedStatement {
     let (id, team) = (id.to_owned(), CALLER_TEAM.to_owned());
-    StatementRun { id, text: "READ a".to_owned(), team, connection, in_transaction }
+    ExecutedStatement { id, text: "READ a".to_owned(), team, connection, in_transaction }
 }
 
 /// Names a case: what is written, what was told, what members ran, and whether it is a breach.
@@ -22,13 +22,13 @@
     ($name:ident, $committed:expr, $told:expr, $runs:expr, $broken:literal) => {
         #[test]
         fn $name() {
-            let group = LineGroupState::new("bookings", &["m-1"]);
+            let group = GroupState::new("bookings", &["m-1"]);
             let mut group = group.lock();
             let committed: Vec<&str> = $committed;
             for data in committed {
                 group.commit(vec![("i1".to_owned(), data.to_owned())]);
             }
-            group.members[0].runs = $runs;
+            group.members[0].executed = $runs;
             let history = CallerHistory { writes: $told, ..CallerHistory::default() };
             assert_eq!(judge(&history, &group, &[]).len(), $broken);
         }
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_read_behind_an_own_write_is_a_breach() {
-    let group = LineGroupState::new("bookings", &["m-1"]);
+    let group = GroupState::new("bookings", &["m-1"]);
     let regressions = vec![("w1".to_owned(), "w2".to_owned())];
     let history = CallerHistory { regressions, ..CallerHistory::default() };
     assert_eq!(judge(&history, &group.lock(), &[]).len(), 1);
@@ -59,8 +59,8 @@
 
 #[test]
 fn a_token_of_two_holders_is_a_breach() {
-    let group = LineGroupState::new("bookings", &["m-1"]);
-    let call = |holder: &str| PromotionCall {
+    let group = GroupState::new("bookings", &["m-1"]);
+    let call = |holder: &str| PromotionRequest {
         service: "bookings".to_owned(),
         endpoint: "m-1".to_owned(),
         holder: holder.to_owned(),
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -35,7 +35,7 @@
 
 /// Stand-ins that one process serves.
 #[derive(Default)]
-pub struct StandinHub {
+pub struct StandinServices {
     /// Platform services.
     pub platform: PlatformService,
     /// Database groups by name.
@@ -58,16 +58,16 @@
     connections: u32,
 }
 
-type HubState = State<Arc<StandinHub>>;
+type HubState = State<Arc<StandinServices>>;
 
 /// Serves the interface on `listener` until the task ends.
-pub async fn serve(listener: TcpListener, hub: Arc<StandinHub>) -> Result<(), ControlError> {
+pub async fn serve(listener: TcpListener, hub: Arc<StandinServices>) -> Result<(), ControlError> {
     let address =
         listener.local_addr().context(ControlSnafu { address: SocketAddr::from(([0; 4], 0)) })?;
     axum::serve(listener, router(hub)).await.context(ControlSnafu { address })
 }
 
-fn router(hub: Arc<StandinHub>) -> Router {
+fn router(hub: Arc<StandinServices>) -> Router {
     Router::new()
         .route("/table/transact", post(transact))
         .route("/table/row", get(read_row))
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/gateway_platform.rs
@@ -2,4 +2,4 @@
 
 pub mod group;
 pub mod member;
-pub mod store;
+pub mod row_store;
--- a/crates/standin/src/fleet/group.rs
+++ b/crates/standin/src/gateway_platform/group.rs
@@ -8,7 +8,7 @@
 
 /// Statement that a member ran.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct StatementRun {
+pub struct ExecutedStatement {
     /// Identifier of the request.
     pub id: String,
     /// Text without the position before it.
@@ -25,11 +25,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct MemberFaults {
     /// Applies nothing new.
-    pub lags: bool,
+    pub replication_stopped: bool,
     /// Takes connections and answers nothing.
-    pub silent: bool,
+    pub unresponsive: bool,
     /// Closes the connection in place of the answer to commits and single writes.
-    pub loses_commits: bool,
+    pub loses_commit_responses: bool,
     /// Fails reads though it is healthy.
     pub fails_reads: bool,
     /// Team whose statements take long, with the time that each takes.
@@ -46,11 +46,11 @@
     /// Misbehaviour.
     pub faults: MemberFaults,
     /// Statements in the order in which they ran.
-    pub runs: Vec<StatementRun>,
+    pub executed: Vec<ExecutedStatement>,
     /// Open connections.
     pub connections: HashSet<u64>,
     /// Most connections that were open at a time.
-    pub most_connections: usize,
+    pub peak_connections: usize,
 }
 
 /// Entry of the log.
@@ -62,7 +62,7 @@
 
 /// State that the members of a group share.
 #[derive(Debug)]
-pub struct LineGroupState {
+pub struct GroupState {
     /// Name of the service.
     pub service: String,
     /// Term of the leader.
@@ -72,32 +72,32 @@
     /// Members.
     pub members: Vec<MemberState>,
     /// Connections that each member takes.
-    pub connection_limit: usize,
+    pub max_connections: usize,
     log: Vec<LogEntry>,
     rolled_back: Vec<LogEntry>,
     next_connection: u64,
 }
 
 /// Group shared by its members' tasks and by tests.
-pub type LineGroup = Arc<Mutex<LineGroupState>>;
+pub type SharedGroup = Arc<Mutex<GroupState>>;
 
-impl LineGroupState {
+impl GroupState {
     /// Creates a group whose first member leads.
-    pub fn new(service: &str, ids: &[&str]) -> LineGroup {
+    pub fn new(service: &str, ids: &[&str]) -> SharedGroup {
         let member = |id: &&str| MemberState {
             id: (*id).to_owned(),
             applied: 0,
             faults: MemberFaults::default(),
-            runs: Vec::new(),
+            executed: Vec::new(),
             connections: HashSet::new(),
-            most_connections: 0,
+            peak_connections: 0,
         };
         Arc::new(Mutex::new(Self {
             service: service.to_owned(),
             term: 1,
             leader: 0,
             members: ids.iter().map(member).collect(),
-            connection_limit: 20,
+            max_connections: 20,
             log: Vec::new(),
             rolled_back: Vec::new(),
             next_connection: 1,
@@ -129,7 +129,7 @@
 
     /// Opens a connection; none if the member takes no more.
     pub fn connect(&mut self, member: usize) -> Option<u64> {
-        let limit = self.connection_limit;
+        let limit = self.max_connections;
         let state = &mut self.members[member];
         if state.connections.len() >= limit {
             return None;
@@ -137,7 +137,7 @@
         let connection = self.next_connection;
         self.next_connection += 1;
         state.connections.insert(connection);
-        state.most_connections = state.most_connections.max(state.connections.len());
+        state.peak_connections = state.peak_connections.max(state.connections.len());
         Some(connection)
     }
 
@@ -147,7 +147,7 @@
         let end = self.log.len() as u64;
         let leader = self.leader;
         for (index, member) in self.members.iter_mut().enumerate() {
-            if index == leader || !member.faults.lags {
+            if index == leader || !member.faults.replication_stopped {
                 member.applied = end;
             }
         }
@@ -155,7 +155,7 @@
 
     /// Lets a member that no longer lags show the whole log.
     pub fn catch_up(&mut self, member: usize) {
-        if !self.members[member].faults.lags {
+        if !self.members[member].faults.replication_stopped {
             self.members[member].applied = self.log.len() as u64;
         }
     }
@@ -178,9 +178,9 @@
     }
 
     /// Returns how often each request ran a committed or single write, over all members.
-    pub fn write_runs(&self) -> HashMap<String, usize> {
+    pub fn write_executions(&self) -> HashMap<String, usize> {
         let mut runs = HashMap::new();
-        for run in self.members.iter().flat_map(|member| &member.runs) {
+        for run in self.members.iter().flat_map(|member| &member.executed) {
             if run.text.starts_with("WRITE") || run.text == "COMMIT" {
                 *runs.entry(run.id.clone()).or_default() += 1;
             }
--- a/crates/standin/src/fleet/member.rs
+++ b/crates/standin/src/gateway_platform/member.rs
@@ -7,13 +7,13 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::group::{LineGroup, StatementRun};
+use super::group::{ExecutedStatement, SharedGroup};
 
 /// Time that a read, write or commit takes.
 const WORK_TIME: Duration = Duration::from_millis(2);
 
 /// Serves a member of a group on a free loopback port.
-pub async fn serve(group: LineGroup, member: usize) -> std::io::Result<SocketAddr> {
+pub async fn serve(group: SharedGroup, member: usize) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
@@ -26,7 +26,7 @@
 
 /// State of one connection.
 struct LineConnection {
-    group: LineGroup,
+    group: SharedGroup,
     member: usize,
     number: u64,
     team: String,
@@ -36,7 +36,7 @@
     prepared: HashMap<String, bool>,
 }
 
-async fn serve_connection(group: LineGroup, member: usize, stream: TcpStream) {
+async fn serve_connection(group: SharedGroup, member: usize, stream: TcpStream) {
     // Without the option answers only take longer.
     let _ = stream.set_nodelay(true);
     let (reader, mut writer) = stream.into_split();
@@ -95,7 +95,7 @@
 
     /// Runs a line; none if the connection ends in place of an answer.
     async fn answer(&mut self, line: &str) -> Option<String> {
-        let silent = self.group.lock().members[self.member].faults.silent;
+        let silent = self.group.lock().members[self.member].faults.unresponsive;
         if silent {
             std::future::pending::<()>().await;
         }
@@ -187,7 +187,7 @@
         tokio::time::sleep(work).await;
         let mut state = self.group.lock();
         let faults = state.members[self.member].faults.clone();
-        state.members[self.member].runs.push(StatementRun {
+        state.members[self.member].executed.push(ExecutedStatement {
             id: id.to_owned(),
             text: text.to_owned(),
             team: self.team.clone(),
@@ -217,7 +217,7 @@
             content = format!("ROW {row}\r\n");
         }
         let settles = commits || writes && !in_transaction;
-        if settles && faults.loses_commits {
+        if settles && faults.loses_commit_responses {
             return None;
         }
         let digest = format!("COMPLETE {}.{id}\r\n", state.members[self.member].id);
--- a/crates/standin/src/fleet/store.rs
+++ b/crates/standin/src/gateway_platform/row_store.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-use super::group::LineGroup;
+use super::group::SharedGroup;
 
 /// Time that a promotion takes to come into force.
 const PROMOTION_TIME: Duration = Duration::from_millis(60);
@@ -33,7 +33,7 @@
 
 /// Call for a promotion that was accepted.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PromotionCall {
+pub struct PromotionRequest {
     /// Service.
     pub service: String,
     /// Member to lead.
@@ -50,19 +50,19 @@
     version: u64,
     history_start: u64,
     down: bool,
-    promotions: Vec<PromotionCall>,
+    promotions: Vec<PromotionRequest>,
 }
 
 /// Stand-in for the store and the promotion service.
 #[derive(Clone, Debug)]
-pub struct FleetStore {
+pub struct RowStore {
     state: Arc<Mutex<StoreState>>,
-    groups: Arc<Mutex<HashMap<String, LineGroup>>>,
+    groups: Arc<Mutex<HashMap<String, SharedGroup>>>,
     changed: Arc<Notify>,
     started_at: Instant,
 }
 
-impl Default for FleetStore {
+impl Default for RowStore {
     fn default() -> Self {
         Self {
             state: Arc::default(),
@@ -73,7 +73,7 @@
     }
 }
 
-impl FleetStore {
+impl RowStore {
     /// Serves the store on a free loopback port.
     pub async fn serve(&self) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -89,7 +89,7 @@
     }
 
     /// Lets the promotion service know a group.
-    pub fn add_group(&self, group: LineGroup) {
+    pub fn register_group(&self, group: SharedGroup) {
         let service = group.lock().service.clone();
         self.groups.lock().insert(service, group);
     }
@@ -111,19 +111,19 @@
     }
 
     /// Refuses every call, or serves again.
-    pub fn set_down(&self, down: bool) {
+    pub fn set_unavailable(&self, down: bool) {
         self.state.lock().down = down;
         self.changed.notify_waiters();
     }
 
     /// Forgets the history of changes.
-    pub fn compact(&self) {
+    pub fn compact_history(&self) {
         let mut state = self.state.lock();
         state.history_start = state.version;
     }
 
     /// Returns the promotions that were accepted.
-    pub fn promotions(&self) -> Vec<PromotionCall> {
+    pub fn promotions(&self) -> Vec<PromotionRequest> {
         self.state.lock().promotions.clone()
     }
 
@@ -154,7 +154,7 @@
     query.get(name).and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
-async fn rows_get(State(store): State<FleetStore>, Query(query): StoreQuery) -> Response {
+async fn rows_get(State(store): State<RowStore>, Query(query): StoreQuery) -> Response {
     let rows: Vec<Value> = {
         let state = store.state.lock();
         if state.down {
@@ -167,7 +167,7 @@
     Json(store.answer(rows)).into_response()
 }
 
-async fn rows_feed(State(store): State<FleetStore>, Query(query): StoreQuery) -> Response {
+async fn rows_feed(State(store): State<RowStore>, Query(query): StoreQuery) -> Response {
     let (after, wait) = (number(&query, "after"), number(&query, "wait_ms"));
     let table = query.get("table").cloned().unwrap_or_default();
     let deadline = Instant::now() + Duration::from_millis(wait);
@@ -193,7 +193,7 @@
     }
 }
 
-async fn rows_tx(State(store): State<FleetStore>, Json(body): Json<Value>) -> Response {
+async fn rows_tx(State(store): State<RowStore>, Json(body): Json<Value>) -> Response {
     let text = |row: &Value, name: &str| row[name].as_str().unwrap_or_default().to_owned();
     let entries = |name: &str| body[name].as_array().cloned().unwrap_or_default();
     {
@@ -223,7 +223,7 @@
 }
 
 async fn promote(
-    State(store): State<FleetStore>,
+    State(store): State<RowStore>,
     headers: HeaderMap,
     Json(body): Json<Value>,
 ) -> Response {
@@ -243,7 +243,7 @@
             return StatusCode::CONFLICT.into_response();
         }
         let (service, endpoint) = (service.to_owned(), id.to_owned());
-        state.promotions.push(PromotionCall { service, endpoint, holder, token });
+        state.promotions.push(PromotionRequest { service, endpoint, holder, token });
     }
     let Some(group) = store.groups.lock().get(service).cloned() else {
         return StatusCode::NOT_FOUND.into_response();
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod control;
 pub mod engine;
 pub mod fault;
-pub mod fleet;
+pub mod gateway_platform;
 pub mod group;
 pub mod infer;
 pub mod member;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -8,7 +8,7 @@
 use clap::Parser;
 use serde::Deserialize;
 use snafu::{ResultExt as _, Snafu};
-use standin::control::{self, ControlError, StandinHub};
+use standin::control::{self, ControlError, StandinServices};
 use standin::group::{DatabaseGroup, GroupError, GroupSettings};
 use telemetry::logging::LoggingSettings;
 use telemetry::program;
@@ -69,7 +69,7 @@
     let path = arguments.file;
     let text = std::fs::read_to_string(&path).context(ReadSnafu { path: path.clone() })?;
     let file: StandinFile = toml::from_str(&text).context(SyntaxSnafu { path })?;
-    let hub = Arc::new(StandinHub::default());
+    let hub = Arc::new(StandinServices::default());
     for settings in file.groups {
         let name = settings.name.clone();
         let group = DatabaseGroup::start(settings).await?;
