--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -11,89 +11,94 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultAction {
     /// The process is stopped and goes on later.
-    Pause(usize),
+    PauseInstance(usize),
     /// The process is killed and starts again.
-    Kill(usize),
+    KillInstance(usize),
     /// The process is told to stop, ends and starts again.
-    Terminate(usize),
+    TerminateInstance(usize),
     /// The way to a member changes.
-    MemberWay(usize, RelayMode),
+    SetMemberRelay(usize, RelayMode),
     /// Connections to a member are reset.
-    MemberReset(usize),
+    ResetMemberConnections(usize),
     /// Open connections to a member go silent for good.
-    MemberSilence(usize),
+    BlackholeMemberConnections(usize),
     /// The way of an instance to the store changes.
-    StoreWay(usize, RelayMode),
+    SetStoreRelay(usize, RelayMode),
     /// Open connections of an instance to the store go silent for good.
-    StoreSilence(usize),
+    BlackholeStoreConnections(usize),
     /// The store refuses every call.
-    StoreDown,
+    MakeStoreUnavailable,
     /// The store forgets its history.
-    StoreCompact,
+    CompactStoreHistory,
     /// A member answers nothing.
-    MemberDark(usize),
+    MakeMemberUnresponsive(usize),
     /// A member applies nothing.
-    MemberLags(usize),
+    StopMemberReplication(usize),
     /// A member closes the connection in place of answers to commits.
-    MemberLoses(usize),
+    LoseCommitResponses(usize),
     /// A member fails reads.
-    MemberGrey(usize),
+    FailMemberReads(usize),
     /// A document with a new version comes.
-    Document,
+    PublishDocument,
 }
 
 /// Fault with its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlannedFault {
+pub struct ScheduledFault {
     /// Time from the start of the run.
-    pub at: Duration,
+    pub starts_at: Duration,
     /// How long it lasts.
-    pub length: Duration,
+    pub duration: Duration,
     /// What happens.
     pub action: FaultAction,
 }
 
 /// Returns the faults of a seed in the order of their times.
-pub fn plan(seed: u64, time: Duration, instances: usize, members: usize) -> Vec<PlannedFault> {
-    let mut random = StdRng::seed_from_u64(seed);
+pub fn schedule_faults(
+    seed: u64,
+    fault_period: Duration,
+    instances: usize,
+    members: usize,
+) -> Vec<ScheduledFault> {
+    let mut rng = StdRng::seed_from_u64(seed);
     let mut faults = Vec::new();
-    let mut at = Duration::from_millis(500);
-    while at < time {
-        let instance = random.random_range(0..instances);
-        let member = random.random_range(0..members);
-        let delay = Duration::from_millis(random.random_range(20..250));
+    let mut starts_at = Duration::from_millis(500);
+    while starts_at < fault_period {
+        let instance = rng.random_range(0..instances);
+        let member = rng.random_range(0..members);
+        let delay = Duration::from_millis(rng.random_range(20..250));
         let modes = [
             RelayMode::Delay(delay),
             RelayMode::DropToTarget,
             RelayMode::DropFromTarget,
             RelayMode::DropAll,
         ];
-        let mode = modes[random.random_range(0..modes.len())];
-        let action = match random.random_range(0..15) {
-            0 => FaultAction::Pause(instance),
-            1 => FaultAction::Kill(instance),
-            2 => FaultAction::Terminate(instance),
-            3 | 4 => FaultAction::MemberWay(member, mode),
-            5 => FaultAction::MemberReset(member),
-            6 => FaultAction::MemberSilence(member),
-            7 => FaultAction::StoreWay(instance, mode),
-            8 => FaultAction::StoreSilence(instance),
-            9 => FaultAction::StoreDown,
-            10 => FaultAction::StoreCompact,
-            11 => FaultAction::MemberDark(member),
-            12 => FaultAction::MemberLags(member),
-            13 => FaultAction::MemberLoses(member),
+        let mode = modes[rng.random_range(0..modes.len())];
+        let action = match rng.random_range(0..15) {
+            0 => FaultAction::PauseInstance(instance),
+            1 => FaultAction::KillInstance(instance),
+            2 => FaultAction::TerminateInstance(instance),
+            3 | 4 => FaultAction::SetMemberRelay(member, mode),
+            5 => FaultAction::ResetMemberConnections(member),
+            6 => FaultAction::BlackholeMemberConnections(member),
+            7 => FaultAction::SetStoreRelay(instance, mode),
+            8 => FaultAction::BlackholeStoreConnections(instance),
+            9 => FaultAction::MakeStoreUnavailable,
+            10 => FaultAction::CompactStoreHistory,
+            11 => FaultAction::MakeMemberUnresponsive(member),
+            12 => FaultAction::StopMemberReplication(member),
+            13 => FaultAction::LoseCommitResponses(member),
             _ => {
-                if random.random_bool(0.5) {
-                    FaultAction::MemberGrey(member)
+                if rng.random_bool(0.5) {
+                    FaultAction::FailMemberReads(member)
                 } else {
-                    FaultAction::Document
+                    FaultAction::PublishDocument
                 }
             }
         };
-        let length = Duration::from_millis(random.random_range(200..3_000));
-        faults.push(PlannedFault { at, length, action });
-        at += Duration::from_millis(random.random_range(50..1_200));
+        let duration = Duration::from_millis(rng.random_range(200..3_000));
+        faults.push(ScheduledFault { starts_at, duration, action });
+        starts_at += Duration::from_millis(rng.random_range(50..1_200));
     }
     faults
 }
--- a/crates/soak/src/instance.rs
+++ b/crates/soak/src/instance.rs
@@ -9,7 +9,7 @@
 
 /// Where an instance finds the platform, and its own place.
 #[derive(Clone, Debug)]
-pub struct InstancePlace {
+pub struct InstanceConfig {
     /// Number from one, the last part of its address.
     pub number: u8,
     /// First three parts of its address; runs side by side have different ones.
@@ -22,7 +22,7 @@
     pub base_port: u16,
 }
 
-impl InstancePlace {
+impl InstanceConfig {
     /// Returns the address for callers.
     pub fn caller_address(&self) -> SocketAddr {
         SocketAddr::from((self.ip(), self.base_port))
@@ -33,7 +33,7 @@
         [first, second, third, self.number]
     }
 
-    fn settings(&self, first_start: bool) -> String {
+    fn settings_text(&self, first_start: bool) -> String {
         let ip = std::net::Ipv4Addr::from(self.ip());
         let (callers, ready, peers) = (self.base_port, self.base_port + 1, self.base_port + 2);
         format!(
@@ -53,25 +53,25 @@
 #[derive(Debug)]
 pub struct InstanceProcess {
     /// Its place.
-    pub place: InstancePlace,
+    pub config: InstanceConfig,
     program: PathBuf,
     folder: PathBuf,
     child: Option<Child>,
-    starts: u32,
+    start_count: u32,
 }
 
 impl InstanceProcess {
     /// Describes an instance; its log and settings go to `folder`.
-    pub fn new(place: InstancePlace, program: &Path, folder: &Path) -> Self {
+    pub fn new(config: InstanceConfig, program: &Path, folder: &Path) -> Self {
         let (program, folder) = (program.to_owned(), folder.to_owned());
-        Self { place, program, folder, child: None, starts: 0 }
+        Self { config, program, folder, child: None, start_count: 0 }
     }
 
     /// Starts the process.
     pub fn start(&mut self) -> std::io::Result<()> {
-        let name = format!("instance-{}", self.place.number);
+        let name = format!("instance-{}", self.config.number);
         let settings = self.folder.join(format!("{name}.conf"));
-        std::fs::write(&settings, self.place.settings(self.starts == 0))?;
+        std::fs::write(&settings, self.config.settings_text(self.start_count == 0))?;
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
@@ -87,12 +87,12 @@
             .kill_on_drop(true)
             .spawn()?;
         self.child = Some(child);
-        self.starts += 1;
+        self.start_count += 1;
         Ok(())
     }
 
     /// Sends a signal to this process and no other.
-    pub fn signal(&self, signal: Signal) -> std::io::Result<()> {
+    pub fn send_signal(&self, signal: Signal) -> std::io::Result<()> {
         let id = self.child.as_ref().and_then(Child::id);
         let id = id.and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
         match id {
@@ -102,7 +102,7 @@
     }
 
     /// Waits for the end of the process.
-    pub async fn ended(&mut self) {
+    pub async fn wait_for_exit(&mut self) {
         if let Some(mut child) = self.child.take() {
             // The status of a process that got a signal says nothing of interest.
             let _ = child.wait().await;
@@ -110,7 +110,7 @@
     }
 
     /// Tells whether the process ended without having been told to.
-    pub fn has_failed(&mut self) -> bool {
+    pub fn has_exited_unexpectedly(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 }
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -5,84 +5,87 @@
 use standin::gateway_platform::group::GroupState;
 use standin::gateway_platform::row_store::PromotionRequest;
 
-use crate::caller::{CallerHistory, ToldOutcome};
+use crate::caller::{CallerHistory, ReportedOutcome};
 
 /// Team of the callers, as members must be told.
 pub const CALLER_TEAM: &str = "gent";
 
 /// Returns every promise that was broken, one line each.
-pub fn judge(
+pub fn check_invariants(
     history: &CallerHistory,
     group: &GroupState,
     promotions: &[PromotionRequest],
 ) -> Vec<String> {
-    let mut broken = history.breaches.clone();
-    judge_writes(history, group, &mut broken);
-    judge_runs(group, &mut broken);
-    judge_promotions(promotions, &mut broken);
-    broken
+    let mut violations = history.violations.clone();
+    check_writes(history, group, &mut violations);
+    check_statements(group, &mut violations);
+    check_promotions(promotions, &mut violations);
+    violations
 }
 
-fn judge_writes(history: &CallerHistory, group: &GroupState, broken: &mut Vec<String>) {
-    let mut kept: HashMap<&str, usize> = HashMap::new();
+fn check_writes(history: &CallerHistory, group: &GroupState, violations: &mut Vec<String>) {
+    let mut commit_counts: HashMap<&str, usize> = HashMap::new();
     let mut rolled_back: HashSet<&str> = HashSet::new();
     for data in group.committed() {
-        *kept.entry(data).or_default() += 1;
+        *commit_counts.entry(data).or_default() += 1;
     }
     for data in group.rolled_back() {
-        *kept.entry(data).or_default() += 1;
+        *commit_counts.entry(data).or_default() += 1;
         rolled_back.insert(data);
     }
     for write in &history.writes {
-        let times = kept.get(write.data.as_str()).copied().unwrap_or_default();
-        let right = match write.told {
-            ToldOutcome::Acknowledged => times == 1,
-            ToldOutcome::NotKept => times == 0,
-            ToldOutcome::Unknown => times <= 1,
+        let commits = commit_counts.get(write.data.as_str()).copied().unwrap_or_default();
+        let is_consistent = match write.outcome {
+            ReportedOutcome::Acknowledged => commits == 1,
+            ReportedOutcome::NotCommitted => commits == 0,
+            ReportedOutcome::Unknown => commits <= 1,
         };
-        if !right {
-            broken.push(format!(
-                "{} was told {:?} and is there {times} times",
-                write.data, write.told
+        if !is_consistent {
+            violations.push(format!(
+                "{} was told {:?} and is there {commits} times",
+                write.data, write.outcome
             ));
         }
     }
-    for (shown, own) in &history.regressions {
-        if !rolled_back.contains(own.as_str()) {
-            broken.push(format!("a session read {shown:?} after its own write {own}"));
+    for (value, last_write) in &history.regressions {
+        if !rolled_back.contains(last_write.as_str()) {
+            violations.push(format!("a session read {value:?} after its own write {last_write}"));
         }
     }
 }
 
-fn judge_runs(group: &GroupState, broken: &mut Vec<String>) {
-    let mut places: HashMap<&str, HashSet<u64>> = HashMap::new();
-    for run in group.members.iter().flat_map(|member| &member.executed) {
-        if run.team != CALLER_TEAM {
-            broken.push(format!("{} ran for team {}", run.id, run.team));
+fn check_statements(group: &GroupState, violations: &mut Vec<String>) {
+    let mut connections_by_transaction: HashMap<&str, HashSet<u64>> = HashMap::new();
+    for statement in group.members.iter().flat_map(|member| &member.executed) {
+        if statement.team != CALLER_TEAM {
+            violations.push(format!("{} ran for team {}", statement.id, statement.team));
         }
-        if !run.id.starts_with('t') {
+        if !statement.id.starts_with('t') {
             continue;
         }
-        if !run.in_transaction {
-            broken.push(format!("{} ran outside of its transaction", run.id));
+        if !statement.in_transaction {
+            violations.push(format!("{} ran outside of its transaction", statement.id));
         }
         // The first statement may be sent again elsewhere; what follows stays where it is.
-        if let Some((transaction, "s2")) = run.id.split_at_checked(run.id.len() - 2) {
-            places.entry(transaction).or_default().insert(run.connection);
-        } else if let Some(transaction) = run.id.strip_suffix('c') {
-            places.entry(transaction).or_default().insert(run.connection);
+        if let Some((transaction, "s2")) = statement.id.split_at_checked(statement.id.len() - 2) {
+            connections_by_transaction.entry(transaction).or_default().insert(statement.connection);
+        } else if let Some(transaction) = statement.id.strip_suffix('c') {
+            connections_by_transaction.entry(transaction).or_default().insert(statement.connection);
         }
     }
-    let moved = places.iter().filter(|(_, connections)| connections.len() > 1);
-    broken.extend(moved.map(|(id, _)| format!("{id} ran on several connections")));
+    let moved = connections_by_transaction.iter().filter(|(_, connections)| connections.len() > 1);
+    violations.extend(moved.map(|(id, _)| format!("{id} ran on several connections")));
 }
 
-fn judge_promotions(promotions: &[PromotionRequest], broken: &mut Vec<String>) {
+fn check_promotions(promotions: &[PromotionRequest], violations: &mut Vec<String>) {
     let mut holders: HashMap<u64, &str> = HashMap::new();
-    for call in promotions {
-        let known = holders.entry(call.token).or_insert(&call.holder);
-        if *known != call.holder {
-            broken.push(format!("token {} used by {} and {known}", call.token, call.holder));
+    for request in promotions {
+        let first_holder = holders.entry(request.token).or_insert(&request.holder);
+        if *first_holder != request.holder {
+            violations.push(format!(
+                "token {} used by {} and {first_holder}",
+                request.token, request.holder
+            ));
         }
     }
 }
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -16,9 +16,9 @@
 
 /// Direction of bytes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum ByteDirection {
-    Forth,
-    Back,
+enum RelayDirection {
+    ToTarget,
+    FromTarget,
 }
 
 /// What happens to bytes.
@@ -40,10 +40,10 @@
 struct RelayState {
     mode: watch::Sender<RelayMode>,
     /// Connections up to this number are silent for good.
-    silenced: AtomicU64,
+    last_blackholed: AtomicU64,
     /// Raised to end all open connections.
     resets: watch::Sender<u32>,
-    opened: AtomicU64,
+    opened_count: AtomicU64,
     reset_count: AtomicU32,
 }
 
@@ -62,15 +62,15 @@
         let address = listener.local_addr()?;
         let state = Arc::new(RelayState {
             mode: watch::channel(RelayMode::Forward).0,
-            silenced: AtomicU64::new(0),
+            last_blackholed: AtomicU64::new(0),
             resets: watch::channel(0).0,
-            opened: AtomicU64::new(0),
+            opened_count: AtomicU64::new(0),
             reset_count: AtomicU32::new(0),
         });
         let shared = state.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serve(shared.clone(), stream, target));
+                tokio::spawn(relay_connection(shared.clone(), stream, target));
             }
         });
         Ok(Self { address, state })
@@ -82,40 +82,40 @@
     }
 
     /// Ends all open connections.
-    pub fn reset(&self) {
+    pub fn reset_open_connections(&self) {
         let count = self.state.reset_count.fetch_add(1, Ordering::Relaxed) + 1;
         self.state.resets.send_replace(count);
     }
 
     /// Silences all open connections for good; new ones work.
-    pub fn silence(&self) {
-        let opened = self.state.opened.load(Ordering::Relaxed);
-        self.state.silenced.store(opened, Ordering::Relaxed);
+    pub fn blackhole_open_connections(&self) {
+        let opened_count = self.state.opened_count.load(Ordering::Relaxed);
+        self.state.last_blackholed.store(opened_count, Ordering::Relaxed);
     }
 }
 
-async fn serve(state: Arc<RelayState>, near: TcpStream, target: SocketAddr) {
-    let number = state.opened.fetch_add(1, Ordering::Relaxed) + 1;
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn relay_connection(state: Arc<RelayState>, client: TcpStream, target: SocketAddr) {
+    let connection_number = state.opened_count.fetch_add(1, Ordering::Relaxed) + 1;
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
     // Without the option bytes only come later.
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_reader, near_writer) = near.into_split();
-    let (far_reader, far_writer) = far.into_split();
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let (client_reader, client_writer) = client.into_split();
+    let (server_reader, server_writer) = server.into_split();
     let mut resets = state.resets.subscribe();
     resets.mark_unchanged();
     tokio::select! {
-        () = pump(&state, number, ByteDirection::Forth, near_reader, far_writer) => {}
-        () = pump(&state, number, ByteDirection::Back, far_reader, near_writer) => {}
+        () = forward(&state, connection_number, RelayDirection::ToTarget, client_reader, server_writer) => {}
+        () = forward(&state, connection_number, RelayDirection::FromTarget, server_reader, client_writer) => {}
         _ = resets.changed() => {}
     }
 }
 
-async fn pump(
+async fn forward(
     state: &RelayState,
-    number: u64,
-    direction: ByteDirection,
+    connection_number: u64,
+    direction: RelayDirection,
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
 ) {
@@ -123,23 +123,23 @@
     loop {
         let read = reader.read(&mut chunk).await;
         let mode = *state.mode.borrow();
-        let swallowed = number <= state.silenced.load(Ordering::Relaxed)
+        let is_dropped = connection_number <= state.last_blackholed.load(Ordering::Relaxed)
             || match mode {
                 RelayMode::Forward | RelayMode::Delay(_) => false,
-                RelayMode::DropToTarget => direction == ByteDirection::Forth,
-                RelayMode::DropFromTarget => direction == ByteDirection::Back,
+                RelayMode::DropToTarget => direction == RelayDirection::ToTarget,
+                RelayMode::DropFromTarget => direction == RelayDirection::FromTarget,
                 RelayMode::DropAll => true,
             };
         let read = match read {
             // A cut hides the end of a connection, too.
-            Ok(0) | Err(_) if swallowed => std::future::pending().await,
+            Ok(0) | Err(_) if is_dropped => std::future::pending().await,
             Ok(0) | Err(_) => return,
             Ok(read) => read,
         };
         if let RelayMode::Delay(delay) = mode {
             sleep(delay).await;
         }
-        if !swallowed && writer.write_all(&chunk[..read]).await.is_err() {
+        if !is_dropped && writer.write_all(&chunk[..read]).await.is_err() {
             return;
         }
     }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -15,22 +15,22 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::caller::{CALLER_KEY, SharedHistory, SoakCaller};
-use crate::fault::{FaultAction, plan};
-use crate::instance::{InstancePlace, InstanceProcess};
-use crate::invariants::{CALLER_TEAM, judge};
+use crate::caller::{CALLER_API_KEY, SharedHistory, SoakCaller};
+use crate::fault::{FaultAction, schedule_faults};
+use crate::instance::{InstanceConfig, InstanceProcess};
+use crate::invariants::{CALLER_TEAM, check_invariants};
 use crate::relay::{FaultRelay, RelayMode};
 
 /// Members of the group.
-const MEMBERS: usize = 3;
+const MEMBER_COUNT: usize = 3;
 /// Service of the run.
 const SERVICE: &str = "bookings";
 /// Time in which instances must serve after the last fault was mended; the users' bound.
-const RECOVERY_TIME: Duration = Duration::from_secs(12);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 /// Time in which all instances must be up.
-const START_TIME: Duration = Duration::from_secs(10);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time in which a process must end after it was told to; its grace period and some more.
-const STOP_TIME: Duration = Duration::from_secs(6);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Error that keeps a run from taking place.
 #[derive(Debug, Snafu)]
@@ -42,7 +42,7 @@
         source: std::io::Error,
     },
     /// The instances did not start.
-    #[snafu(display("the instances did not serve within {} s", START_TIME.as_secs()))]
+    #[snafu(display("the instances did not serve within {} s", STARTUP_TIMEOUT.as_secs()))]
     NotStarted,
 }
 
@@ -79,71 +79,75 @@
 type SharedProcess = Arc<tokio::sync::Mutex<InstanceProcess>>;
 
 /// Everything that runs.
-struct SoakField {
+struct SoakEnvironment {
     store: RowStore,
     group: SharedGroup,
     member_relays: Vec<FaultRelay>,
     store_relays: Vec<FaultRelay>,
     processes: Vec<SharedProcess>,
     failures: Mutex<Vec<String>>,
-    version: Mutex<u64>,
+    document_version: Mutex<u64>,
 }
 
 /// Plays a seed.
 pub async fn run(settings: &SoakSettings) -> Result<SoakReport, SoakError> {
-    let field = Arc::new(SoakField::start(settings).await?);
+    let environment = Arc::new(SoakEnvironment::start(settings).await?);
     let addresses: Vec<_> = {
         let mut addresses = Vec::new();
-        for process in &field.processes {
-            addresses.push(process.lock().await.place.caller_address());
+        for process in &environment.processes {
+            addresses.push(process.lock().await.config.caller_address());
         }
         addresses
     };
     let history = SharedHistory::default();
-    let (stop, stopped) = watch::channel(false);
+    let (stop, stop_receiver) = watch::channel(false);
     let mut callers = Vec::new();
     for number in 0..settings.callers {
         let caller = SoakCaller::new(number, settings.seed, addresses.clone(), history.clone());
-        callers.push(tokio::spawn(caller.run(stopped.clone())));
+        callers.push(tokio::spawn(caller.run(stop_receiver.clone())));
     }
-    let faults = plan(settings.seed, settings.fault_period, settings.instances, MEMBERS);
-    let begun_at = Instant::now();
-    let mut playing = Vec::new();
+    let faults =
+        schedule_faults(settings.seed, settings.fault_period, settings.instances, MEMBER_COUNT);
+    let started_at = Instant::now();
+    let mut fault_tasks = Vec::new();
     for fault in &faults {
-        sleep_until(begun_at + fault.at).await;
-        let (field, fault) = (field.clone(), *fault);
-        playing.push(tokio::spawn(async move { field.play(fault.action, fault.length).await }));
+        sleep_until(started_at + fault.starts_at).await;
+        let (environment, fault) = (environment.clone(), *fault);
+        fault_tasks.push(tokio::spawn(async move {
+            environment.inject_fault(fault.action, fault.duration).await
+        }));
     }
-    for fault in playing {
+    for fault in fault_tasks {
         if let Err(error) = fault.await {
-            field.failures.lock().push(format!("a fault could not be played: {error}"));
+            environment.failures.lock().push(format!("a fault could not be played: {error}"));
         }
     }
-    field.check_recovery(&addresses).await;
+    environment.check_recovery(&addresses).await;
     stop.send_replace(true);
     for caller in callers {
         if let Err(error) = caller.await {
-            field.failures.lock().push(format!("a caller ended: {error}"));
+            environment.failures.lock().push(format!("a caller ended: {error}"));
         }
     }
-    field.stop().await;
+    environment.stop().await;
     let history = history.lock();
-    let mut broken = judge(&history, &field.group.lock(), &field.store.promotions());
-    broken.extend(field.failures.lock().drain(..));
+    let mut violations =
+        check_invariants(&history, &environment.group.lock(), &environment.store.promotions());
+    violations.extend(environment.failures.lock().drain(..));
     let (writes, reads) = (history.writes.len(), history.reads);
-    Ok(SoakReport { violations: broken, faults: faults.len(), writes, reads })
+    Ok(SoakReport { violations, faults: faults.len(), writes, reads })
 }
 
-impl SoakField {
+impl SoakEnvironment {
     async fn start(settings: &SoakSettings) -> Result<Self, SoakError> {
         let store = RowStore::default();
         let store_address = store.serve().await.context(IoSnafu)?;
-        let ids: Vec<String> = (1..=MEMBERS).map(|number| format!("m-{number}")).collect();
+        let ids: Vec<String> = (1..=MEMBER_COUNT).map(|number| format!("m-{number}")).collect();
         let names: Vec<&str> = ids.iter().map(String::as_str).collect();
         let group = GroupState::new(SERVICE, &names);
         store.register_group(group.clone());
         let mut member_relays = Vec::new();
-        for index in 0..MEMBERS {
+        for index in 0..MEMBER_COUNT {
             let address = member::serve(group.clone(), index).await.context(IoSnafu)?;
             member_relays.push(FaultRelay::start(address).await.context(IoSnafu)?);
         }
@@ -153,7 +157,7 @@
         let (mut store_relays, mut processes) = (Vec::new(), Vec::new());
         for index in 0..settings.instances {
             let relay = FaultRelay::start(store_address).await.context(IoSnafu)?;
-            let place = InstancePlace {
+            let config = InstanceConfig {
                 number: u8::try_from(index + 1).unwrap_or(u8::MAX),
                 network,
                 zone: format!("zone-{}", index % 3),
@@ -161,38 +165,38 @@
                 base_port,
             };
             store_relays.push(relay);
-            let process = InstanceProcess::new(place, &settings.program, &settings.folder);
+            let process = InstanceProcess::new(config, &settings.program, &settings.folder);
             processes.push(Arc::new(tokio::sync::Mutex::new(process)));
         }
-        let field = Self {
+        let environment = Self {
             store,
             group,
             member_relays,
             store_relays,
             processes,
             failures: Mutex::default(),
-            version: Mutex::new(0),
+            document_version: Mutex::new(0),
         };
-        field.write_document();
-        field.register_members();
-        for process in &field.processes {
+        environment.write_document();
+        environment.register_members();
+        for process in &environment.processes {
             process.lock().await.start().context(IoSnafu)?;
         }
-        let up = timeout(START_TIME, async {
-            for process in &field.processes {
-                let address = process.lock().await.place.caller_address();
-                while !serves(address).await {
+        let startup = timeout(STARTUP_TIMEOUT, async {
+            for process in &environment.processes {
+                let address = process.lock().await.config.caller_address();
+                while !is_serving(address).await {
                     sleep(Duration::from_millis(50)).await;
                 }
             }
         });
-        up.await.map_err(|_| SoakError::NotStarted)?;
-        Ok(field)
+        startup.await.map_err(|_| SoakError::NotStarted)?;
+        Ok(environment)
     }
 
     fn write_document(&self) {
-        let mut version = self.version.lock();
-        *version += 1;
+        let mut document_version = self.document_version.lock();
+        *document_version += 1;
         let route = |host: &str, kind: &str| {
             json!({
                 "name": host, "host": host, "kind": kind, "service": SERVICE, "timeout_ms": 800,
@@ -200,12 +204,12 @@
             })
         };
         let document = json!({
-            "version": *version,
+            "version": *document_version,
             "routes": [route("strict", "primary"), route("own", "read_your_writes")],
             "services": [{ "name": SERVICE, "max_connections": 20, "sync_replicas": 0 }],
             "limits": { "transaction_idle_ms": 3_000 },
             "tenants": [{
-                "name": CALLER_TEAM, "api_keys": [CALLER_KEY], "rate_per_s": 2_000, "burst": 2_000,
+                "name": CALLER_TEAM, "api_keys": [CALLER_API_KEY], "rate_per_s": 2_000, "burst": 2_000,
             }],
         });
         self.store.put("op", "config", &document);
@@ -229,63 +233,76 @@
     }
 
     /// Lets a fault begin and mends it.
-    async fn play(&self, action: FaultAction, length: Duration) {
+    async fn inject_fault(&self, action: FaultAction, duration: Duration) {
         match action {
-            FaultAction::Pause(index) => {
+            FaultAction::PauseInstance(index) => {
                 let process = self.processes[index].lock().await;
-                self.note(process.signal(Signal::STOP));
-                sleep(length).await;
-                self.note(process.signal(Signal::CONT));
+                self.record_failure(process.send_signal(Signal::STOP));
+                sleep(duration).await;
+                self.record_failure(process.send_signal(Signal::CONT));
             }
-            FaultAction::Kill(index) => self.restart(index, Signal::KILL).await,
-            FaultAction::Terminate(index) => self.restart(index, Signal::TERM).await,
-            FaultAction::MemberWay(index, mode) => {
+            FaultAction::KillInstance(index) => self.restart(index, Signal::KILL).await,
+            FaultAction::TerminateInstance(index) => self.restart(index, Signal::TERM).await,
+            FaultAction::SetMemberRelay(index, mode) => {
                 self.member_relays[index].set_mode(mode);
-                sleep(length).await;
+                sleep(duration).await;
                 self.member_relays[index].set_mode(RelayMode::Forward);
                 // Bytes that were swallowed leave the connection useless.
-                self.member_relays[index].reset();
+                self.member_relays[index].reset_open_connections();
             }
-            FaultAction::MemberReset(index) => self.member_relays[index].reset(),
-            FaultAction::MemberSilence(index) => self.member_relays[index].silence(),
-            FaultAction::StoreWay(index, mode) => {
+            FaultAction::ResetMemberConnections(index) => {
+                self.member_relays[index].reset_open_connections()
+            }
+            FaultAction::BlackholeMemberConnections(index) => {
+                self.member_relays[index].blackhole_open_connections()
+            }
+            FaultAction::SetStoreRelay(index, mode) => {
                 self.store_relays[index].set_mode(mode);
-                sleep(length).await;
+                sleep(duration).await;
                 self.store_relays[index].set_mode(RelayMode::Forward);
             }
-            FaultAction::StoreSilence(index) => self.store_relays[index].silence(),
-            FaultAction::StoreDown => {
+            FaultAction::BlackholeStoreConnections(index) => {
+                self.store_relays[index].blackhole_open_connections()
+            }
+            FaultAction::MakeStoreUnavailable => {
                 self.store.set_unavailable(true);
-                sleep(length).await;
+                sleep(duration).await;
                 self.store.set_unavailable(false);
             }
-            FaultAction::StoreCompact => self.store.compact_history(),
-            FaultAction::MemberDark(index) => {
-                self.misbehave(index, length, |faults, on| faults.unresponsive = on).await
+            FaultAction::CompactStoreHistory => self.store.compact_history(),
+            FaultAction::MakeMemberUnresponsive(index) => {
+                self.inject_member_fault(index, duration, |faults, on| faults.unresponsive = on)
+                    .await
             }
-            FaultAction::MemberLags(index) => {
-                self.misbehave(index, length, |faults, on| faults.replication_stopped = on).await
+            FaultAction::StopMemberReplication(index) => {
+                self.inject_member_fault(index, duration, |faults, on| {
+                    faults.replication_stopped = on
+                })
+                .await
             }
-            FaultAction::MemberLoses(index) => {
-                self.misbehave(index, length, |faults, on| faults.loses_commit_responses = on)
-                    .await;
+            FaultAction::LoseCommitResponses(index) => {
+                self.inject_member_fault(index, duration, |faults, on| {
+                    faults.loses_commit_responses = on
+                })
+                .await;
             }
-            FaultAction::MemberGrey(index) => {
-                self.misbehave(index, length, |faults, on| faults.fails_reads = on).await;
+            FaultAction::FailMemberReads(index) => {
+                self.inject_member_fault(index, duration, |faults, on| faults.fails_reads = on)
+                    .await;
             }
-            FaultAction::Document => self.write_document(),
+            FaultAction::PublishDocument => self.write_document(),
         }
         self.register_members();
     }
 
-    async fn misbehave(
+    async fn inject_member_fault(
         &self,
         index: usize,
-        length: Duration,
+        duration: Duration,
         set: impl Fn(&mut standin::gateway_platform::group::MemberFaults, bool),
     ) {
         set(&mut self.group.lock().members[index].faults, true);
-        sleep(length).await;
+        sleep(duration).await;
         let mut group = self.group.lock();
         set(&mut group.members[index].faults, false);
         group.catch_up(index);
@@ -293,29 +310,29 @@
 
     async fn restart(&self, index: usize, signal: Signal) {
         let mut process = self.processes[index].lock().await;
-        self.note(process.signal(signal));
-        if timeout(STOP_TIME, process.ended()).await.is_err() {
+        self.record_failure(process.send_signal(signal));
+        if timeout(SHUTDOWN_TIMEOUT, process.wait_for_exit()).await.is_err() {
             self.failures
                 .lock()
                 .push(format!("instance {index} did not end within its grace period"));
         }
         sleep(Duration::from_millis(200)).await;
-        self.note(process.start());
+        self.record_failure(process.start());
     }
 
-    fn note(&self, done: std::io::Result<()>) {
-        if let Err(error) = done {
+    fn record_failure(&self, result: std::io::Result<()>) {
+        if let Err(error) = result {
             self.failures.lock().push(format!("a fault could not be played: {error}"));
         }
     }
 
     /// Checks that every instance serves a write again.
     async fn check_recovery(&self, addresses: &[std::net::SocketAddr]) {
-        let begun_at = Instant::now();
+        let started_at = Instant::now();
         for address in addresses {
-            while !serves(*address).await {
+            while !is_serving(*address).await {
                 self.register_members();
-                if begun_at.elapsed() > RECOVERY_TIME {
+                if started_at.elapsed() > RECOVERY_TIMEOUT {
                     self.failures
                         .lock()
                         .push(format!("{address} serves nothing after all is mended"));
@@ -329,32 +346,32 @@
     async fn stop(&self) {
         for process in &self.processes {
             let mut process = process.lock().await;
-            if process.has_failed() {
-                let number = process.place.number;
+            if process.has_exited_unexpectedly() {
+                let number = process.config.number;
                 self.failures.lock().push(format!("instance {number} ended by itself"));
             }
-            self.note(process.signal(Signal::KILL));
-            process.ended().await;
+            self.record_failure(process.send_signal(Signal::KILL));
+            process.wait_for_exit().await;
         }
     }
 }
 
 /// Tells whether an instance serves a read through the leader.
-async fn serves(address: std::net::SocketAddr) -> bool {
+async fn is_serving(address: std::net::SocketAddr) -> bool {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let asked = async {
+    let probe = async {
         let mut stream = tokio::net::TcpStream::connect(address).await.ok()?;
-        let text = format!("STARTUP strict {CALLER_KEY}\r\nQUERY p READ probe\r\n");
+        let text = format!("STARTUP strict {CALLER_API_KEY}\r\nQUERY p READ probe\r\n");
         stream.write_all(text.as_bytes()).await.ok()?;
-        let mut answer = String::new();
+        let mut response = String::new();
         let mut chunk = [0; 1_024];
-        while !answer.contains("ERROR") && answer.matches("READY").count() < 2 {
+        while !response.contains("ERROR") && response.matches("READY").count() < 2 {
             let read = stream.read(&mut chunk).await.ok().filter(|read| *read > 0)?;
-            answer.push_str(&String::from_utf8_lossy(&chunk[..read]));
+            response.push_str(&String::from_utf8_lossy(&chunk[..read]));
         }
-        answer.contains("COMPLETE").then_some(())
+        response.contains("COMPLETE").then_some(())
     };
-    timeout(Duration::from_secs(2), asked).await.ok().flatten().is_some()
+    timeout(Duration::from_secs(2), probe).await.ok().flatten().is_some()
 }
 
 /// Returns the first of three ports that are free on the addresses of the instances.
--- a/crates/soak/tests/invariants.rs
+++ b/crates/soak/tests/invariants.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use soak::caller::{CallerHistory, ToldOutcome, TriedWrite};
-use soak::fault::plan;
-use soak::invariants::{CALLER_TEAM, judge};
+use soak::caller::{AttemptedWrite, CallerHistory, ReportedOutcome};
+use soak::fault::schedule_faults;
+use soak::invariants::{CALLER_TEAM, check_invariants};
 use standin::gateway_platform::group::{ExecutedStatement, GroupState};
 use standin::gateway_platform::row_store::PromotionRequest;
 
-fn write(data: &str, told: ToldOutcome) -> TriedWrite {
-    TriedWrite { item: "i1".to_owned(), data: data.to_owned(), told }
+fn write(data: &str, outcome: ReportedOutcome) -> AttemptedWrite {
+    AttemptedWrite { item: "i1".to_owned(), data: data.to_owned(), outcome }
 }
 
 fn statement(id: &str, connection: u64, in_transaction: bool) -> ExecutedStatement {
@@ -18,8 +18,8 @@
 }
 
 /// Names a case: what is written, what was told, what members ran, and whether it is a breach.
-macro_rules! verdict_case {
-    ($name:ident, $committed:expr, $told:expr, $runs:expr, $broken:literal) => {
+macro_rules! invariant_case {
+    ($name:ident, $committed:expr, $writes:expr, $executed:expr, $violations:literal) => {
         #[test]
         fn $name() {
             let group = GroupState::new("bookings", &["m-1"]);
@@ -28,20 +28,32 @@
             for data in committed {
                 group.commit(vec![("i1".to_owned(), data.to_owned())]);
             }
-            group.members[0].executed = $runs;
-            let history = CallerHistory { writes: $told, ..CallerHistory::default() };
-            assert_eq!(judge(&history, &group, &[]).len(), $broken);
+            group.members[0].executed = $executed;
+            let history = CallerHistory { writes: $writes, ..CallerHistory::default() };
+            assert_eq!(check_invariants(&history, &group, &[]).len(), $violations);
         }
     };
 }
 
-verdict_case!(kept_as_told, vec!["w1"], vec![write("w1", ToldOutcome::Acknowledged)], vec![], 0);
-verdict_case!(lost, vec![], vec![write("w1", ToldOutcome::Acknowledged)], vec![], 1);
-verdict_case!(twice, vec!["w1", "w1"], vec![write("w1", ToldOutcome::Unknown)], vec![], 1);
-verdict_case!(kept_though_refused, vec!["w1"], vec![write("w1", ToldOutcome::NotKept)], vec![], 1);
-verdict_case!(unknown_either_way, vec![], vec![write("w1", ToldOutcome::Unknown)], vec![], 0);
-verdict_case!(outside, vec![], vec![], vec![statement("t1n1s0", 1, false)], 1);
-verdict_case!(
+invariant_case!(
+    kept_as_told,
+    vec!["w1"],
+    vec![write("w1", ReportedOutcome::Acknowledged)],
+    vec![],
+    0
+);
+invariant_case!(lost, vec![], vec![write("w1", ReportedOutcome::Acknowledged)], vec![], 1);
+invariant_case!(twice, vec!["w1", "w1"], vec![write("w1", ReportedOutcome::Unknown)], vec![], 1);
+invariant_case!(
+    kept_though_refused,
+    vec!["w1"],
+    vec![write("w1", ReportedOutcome::NotCommitted)],
+    vec![],
+    1
+);
+invariant_case!(unknown_either_way, vec![], vec![write("w1", ReportedOutcome::Unknown)], vec![], 0);
+invariant_case!(outside, vec![], vec![], vec![statement("t1n1s0", 1, false)], 1);
+invariant_case!(
     moved,
     vec![],
     vec![],
@@ -54,25 +66,25 @@
     let group = GroupState::new("bookings", &["m-1"]);
     let regressions = vec![("w1".to_owned(), "w2".to_owned())];
     let history = CallerHistory { regressions, ..CallerHistory::default() };
-    assert_eq!(judge(&history, &group.lock(), &[]).len(), 1);
+    assert_eq!(check_invariants(&history, &group.lock(), &[]).len(), 1);
 }
 
 #[test]
 fn a_token_of_two_holders_is_a_breach() {
     let group = GroupState::new("bookings", &["m-1"]);
-    let call = |holder: &str| PromotionRequest {
+    let request = |holder: &str| PromotionRequest {
         service: "bookings".to_owned(),
         endpoint: "m-1".to_owned(),
         holder: holder.to_owned(),
         token: 4,
     };
-    let calls = [call("a"), call("b")];
-    assert_eq!(judge(&CallerHistory::default(), &group.lock(), &calls).len(), 1);
+    let requests = [request("a"), request("b")];
+    assert_eq!(check_invariants(&CallerHistory::default(), &group.lock(), &requests).len(), 1);
 }
 
 #[test]
 fn a_seed_gives_the_same_faults() {
-    let time = Duration::from_secs(30);
-    assert_eq!(plan(7, time, 3, 3), plan(7, time, 3, 3));
-    assert_ne!(plan(7, time, 3, 3), plan(8, time, 3, 3));
+    let fault_period = Duration::from_secs(30);
+    assert_eq!(schedule_faults(7, fault_period, 3, 3), schedule_faults(7, fault_period, 3, 3));
+    assert_ne!(schedule_faults(7, fault_period, 3, 3), schedule_faults(8, fault_period, 3, 3));
 }
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -18,7 +18,7 @@
 
 use crate::fault::FaultChange;
 use crate::group::DatabaseGroup;
-use crate::platform::{PlatformFailure, PlatformFault, PlatformService};
+use crate::platform::{PlatformError, PlatformFault, PlatformService};
 
 /// Largest accepted body in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
@@ -58,16 +58,19 @@
     connections: u32,
 }
 
-type HubState = State<Arc<StandinServices>>;
+type ServicesState = State<Arc<StandinServices>>;
 
 /// Serves the interface on `listener` until the task ends.
-pub async fn serve(listener: TcpListener, hub: Arc<StandinServices>) -> Result<(), ControlError> {
+pub async fn serve(
+    listener: TcpListener,
+    services: Arc<StandinServices>,
+) -> Result<(), ControlError> {
     let address =
         listener.local_addr().context(ControlSnafu { address: SocketAddr::from(([0; 4], 0)) })?;
-    axum::serve(listener, router(hub)).await.context(ControlSnafu { address })
+    axum::serve(listener, router(services)).await.context(ControlSnafu { address })
 }
 
-fn router(hub: Arc<StandinServices>) -> Router {
+fn router(services: Arc<StandinServices>) -> Router {
     Router::new()
         .route("/table/transact", post(transact))
         .route("/table/row", get(read_row))
@@ -76,92 +79,102 @@
         .route("/instances", get(list_instances))
         .route("/control/instance", put(put_instance))
         .route("/control/instance/{name}", axum::routing::delete(remove_instance))
-        .route("/control/platform", get(platform_fault).put(set_platform_fault))
-        .route("/control/counts", get(counts))
-        .route("/control/group/{group}", get(group_view))
-        .route("/control/group/{group}/{member}", put(change_member))
+        .route("/control/platform", get(read_platform_fault).put(set_platform_fault))
+        .route("/control/counts", get(read_counts))
+        .route("/control/group/{group}", get(read_group))
+        .route("/control/group/{group}/{member}", put(update_member_fault))
         .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
-        .with_state(hub)
+        .with_state(services)
 }
 
-impl IntoResponse for PlatformFailure {
+impl IntoResponse for PlatformError {
     fn into_response(self) -> Response {
         match self {
-            Self::Down => (StatusCode::SERVICE_UNAVAILABLE, "the service is down").into_response(),
-            Self::AnswerLost => (StatusCode::GATEWAY_TIMEOUT, "the answer is lost").into_response(),
+            Self::Unavailable => {
+                (StatusCode::SERVICE_UNAVAILABLE, "the service is down").into_response()
+            }
+            Self::ResponseLost => {
+                (StatusCode::GATEWAY_TIMEOUT, "the answer is lost").into_response()
+            }
         }
     }
 }
 
-async fn transact(State(hub): HubState, Json(body): Json<TableTransaction>) -> Response {
-    match hub.platform.transact(body).await {
-        Ok(reply) => Json(reply).into_response(),
-        Err(failure) => failure.into_response(),
+async fn transact(State(services): ServicesState, Json(body): Json<TableTransaction>) -> Response {
+    match services.platform.transact(body).await {
+        Ok(response) => Json(response).into_response(),
+        Err(error) => error.into_response(),
     }
 }
 
-async fn read_row(State(hub): HubState, Query(query): Query<KeyQuery>) -> Response {
-    match hub.platform.row(&query.key).await {
+async fn read_row(State(services): ServicesState, Query(query): Query<KeyQuery>) -> Response {
+    match services.platform.row(&query.key).await {
         Ok(row) => Json(row).into_response(),
-        Err(failure) => failure.into_response(),
+        Err(error) => error.into_response(),
     }
 }
 
-async fn scan(State(hub): HubState, Query(query): Query<KeyQuery>) -> Response {
-    match hub.platform.scan(&query.key).await {
+async fn scan(State(services): ServicesState, Query(query): Query<KeyQuery>) -> Response {
+    match services.platform.scan(&query.key).await {
         Ok(rows) => Json(rows).into_response(),
-        Err(failure) => failure.into_response(),
+        Err(error) => error.into_response(),
     }
 }
 
-async fn read_object(State(hub): HubState, Query(query): Query<KeyQuery>) -> Response {
-    match hub.platform.object(&query.key).await {
+async fn read_object(State(services): ServicesState, Query(query): Query<KeyQuery>) -> Response {
+    match services.platform.object(&query.key).await {
         Ok(Some(bytes)) => bytes.into_response(),
         Ok(None) => StatusCode::NOT_FOUND.into_response(),
-        Err(failure) => failure.into_response(),
+        Err(error) => error.into_response(),
     }
 }
 
 async fn write_object(
-    State(hub): HubState,
+    State(services): ServicesState,
     Query(query): Query<KeyQuery>,
     body: Bytes,
 ) -> Response {
-    match hub.platform.put_object(&query.key, body.to_vec()).await {
+    match services.platform.put_object(&query.key, body.to_vec()).await {
         Ok(()) => StatusCode::NO_CONTENT.into_response(),
-        Err(failure) => failure.into_response(),
+        Err(error) => error.into_response(),
     }
 }
 
-async fn list_instances(State(hub): HubState) -> Json<Vec<InstanceRecord>> {
-    Json(hub.platform.instances())
+async fn list_instances(State(services): ServicesState) -> Json<Vec<InstanceRecord>> {
+    Json(services.platform.instances())
 }
 
-async fn put_instance(State(hub): HubState, Json(record): Json<InstanceRecord>) -> StatusCode {
-    hub.platform.put_instance(record);
+async fn put_instance(
+    State(services): ServicesState,
+    Json(record): Json<InstanceRecord>,
+) -> StatusCode {
+    services.platform.put_instance(record);
     StatusCode::NO_CONTENT
 }
 
-async fn remove_instance(State(hub): HubState, Path(name): Path<String>) -> StatusCode {
-    hub.platform.remove_instance(&name);
+async fn remove_instance(State(services): ServicesState, Path(name): Path<String>) -> StatusCode {
+    services.platform.remove_instance(&name);
     StatusCode::NO_CONTENT
 }
 
-async fn platform_fault(State(hub): HubState) -> Json<PlatformFault> {
-    Json(hub.platform.fault())
+async fn read_platform_fault(State(services): ServicesState) -> Json<PlatformFault> {
+    Json(services.platform.fault())
 }
 
-async fn set_platform_fault(State(hub): HubState, Json(fault): Json<PlatformFault>) -> StatusCode {
-    hub.platform.set_fault(fault);
+async fn set_platform_fault(
+    State(services): ServicesState,
+    Json(fault): Json<PlatformFault>,
+) -> StatusCode {
+    services.platform.set_fault(fault);
     StatusCode::NO_CONTENT
 }
 
-async fn counts(State(hub): HubState) -> Response {
-    Json(hub.platform.counts()).into_response()
+async fn read_counts(State(services): ServicesState) -> Response {
+    Json(services.platform.counts()).into_response()
 }
 
-async fn group_view(State(hub): HubState, Path(name): Path<String>) -> Response {
-    let Some(group) = hub.groups.read().get(&name).cloned() else {
+async fn read_group(State(services): ServicesState, Path(name): Path<String>) -> Response {
+    let Some(group) = services.groups.read().get(&name).cloned() else {
         return StatusCode::NOT_FOUND.into_response();
     };
     let views: Vec<MemberView> = group
@@ -179,12 +192,12 @@
     Json(views).into_response()
 }
 
-async fn change_member(
-    State(hub): HubState,
+async fn update_member_fault(
+    State(services): ServicesState,
     Path((group, member)): Path<(String, String)>,
     Json(change): Json<FaultChange>,
 ) -> StatusCode {
-    let Some(group) = hub.groups.read().get(&group).cloned() else {
+    let Some(group) = services.groups.read().get(&group).cloned() else {
         return StatusCode::NOT_FOUND;
     };
     let Some(member) = group.member(&member) else {
--- a/crates/standin/src/gateway_platform/group.rs
+++ b/crates/standin/src/gateway_platform/group.rs
@@ -114,10 +114,10 @@
         }
         self.leader = index;
         self.term += 1;
-        let kept = self.members[index].applied;
-        self.rolled_back.extend(self.log.split_off(kept as usize));
+        let kept_entries = self.members[index].applied;
+        self.rolled_back.extend(self.log.split_off(kept_entries as usize));
         for member in &mut self.members {
-            member.applied = member.applied.min(kept);
+            member.applied = member.applied.min(kept_entries);
         }
         true
     }
@@ -172,19 +172,19 @@
 
     /// Reads an item as a member shows it.
     pub fn read(&self, member: usize, item: &str) -> Option<String> {
-        let shown = self.members[member].applied as usize;
-        let found = self.log[..shown].iter().rev().find(|entry| entry.item == item);
+        let visible = self.members[member].applied as usize;
+        let found = self.log[..visible].iter().rev().find(|entry| entry.item == item);
         found.map(|entry| entry.data.clone())
     }
 
     /// Returns how often each request ran a committed or single write, over all members.
     pub fn write_executions(&self) -> HashMap<String, usize> {
-        let mut runs = HashMap::new();
-        for run in self.members.iter().flat_map(|member| &member.executed) {
-            if run.text.starts_with("WRITE") || run.text == "COMMIT" {
-                *runs.entry(run.id.clone()).or_default() += 1;
+        let mut executions = HashMap::new();
+        for statement in self.members.iter().flat_map(|member| &member.executed) {
+            if statement.text.starts_with("WRITE") || statement.text == "COMMIT" {
+                *executions.entry(statement.id.clone()).or_default() += 1;
             }
         }
-        runs
+        executions
     }
 }
--- a/crates/standin/src/gateway_platform/member.rs
+++ b/crates/standin/src/gateway_platform/member.rs
@@ -10,7 +10,7 @@
 use super::group::{ExecutedStatement, SharedGroup};
 
 /// Time that a read, write or commit takes.
-const WORK_TIME: Duration = Duration::from_millis(2);
+const STATEMENT_DURATION: Duration = Duration::from_millis(2);
 
 /// Serves a member of a group on a free loopback port.
 pub async fn serve(group: SharedGroup, member: usize) -> std::io::Result<SocketAddr> {
@@ -25,13 +25,13 @@
 }
 
 /// State of one connection.
-struct LineConnection {
+struct MemberConnection {
     group: SharedGroup,
     member: usize,
-    number: u64,
+    connection_id: u64,
     team: String,
-    state: char,
-    writable: bool,
+    transaction_state: char,
+    is_writable: bool,
     writes: Vec<(String, String)>,
     prepared: HashMap<String, bool>,
 }
@@ -45,85 +45,85 @@
         return;
     };
     let words: Vec<&str> = line.trim_end().split(' ').collect();
-    let opened = {
+    let connected = {
         let mut state = group.lock();
-        let right = words.len() >= 3 && words[1] == state.service;
-        let expected = words.get(3).is_none_or(|id| *id == state.members[member].id);
-        match right && expected {
+        let service_matches = words.len() >= 3 && words[1] == state.service;
+        let id_matches = words.get(3).is_none_or(|id| *id == state.members[member].id);
+        match service_matches && id_matches {
             false => Err("MISROUTED"),
             true => state.connect(member).ok_or("TOOMANY"),
         }
     };
-    let number = match opened {
-        Ok(number) => number,
+    let connection_id = match connected {
+        Ok(connection_id) => connection_id,
         Err(code) => {
             // The caller learns the reason if it still listens.
             let _ = writer.write_all(format!("ERROR {code} -\r\n").as_bytes()).await;
             return;
         }
     };
-    let mut connection = LineConnection {
+    let mut connection = MemberConnection {
         group,
         member,
-        number,
+        connection_id,
         team: words[2].to_owned(),
-        state: 'I',
-        writable: false,
+        transaction_state: 'I',
+        is_writable: false,
         writes: Vec::new(),
         prepared: HashMap::new(),
     };
-    let ready = connection.ready();
-    if writer.write_all(ready.as_bytes()).await.is_ok() {
+    let ready_line = connection.ready_line();
+    if writer.write_all(ready_line.as_bytes()).await.is_ok() {
         while let Ok(Some(line)) = lines.next_line().await {
-            let Some(answer) = connection.answer(line.trim_end()).await else {
+            let Some(response) = connection.respond(line.trim_end()).await else {
                 break;
             };
-            if writer.write_all(answer.as_bytes()).await.is_err() {
+            if writer.write_all(response.as_bytes()).await.is_err() {
                 break;
             }
         }
     }
     let mut state = connection.group.lock();
-    state.members[member].connections.remove(&number);
+    state.members[member].connections.remove(&connection_id);
 }
 
-impl LineConnection {
-    fn ready(&self) -> String {
+impl MemberConnection {
+    fn ready_line(&self) -> String {
         let (term, index) = self.group.lock().position(self.member);
-        format!("READY {} {term}.{index}\r\n", self.state)
+        format!("READY {} {term}.{index}\r\n", self.transaction_state)
     }
 
     /// Runs a line; none if the connection ends in place of an answer.
-    async fn answer(&mut self, line: &str) -> Option<String> {
-        let silent = self.group.lock().members[self.member].faults.unresponsive;
-        if silent {
+    async fn respond(&mut self, line: &str) -> Option<String> {
+        let unresponsive = self.group.lock().members[self.member].faults.unresponsive;
+        if unresponsive {
             std::future::pending::<()>().await;
         }
         let rest = line.strip_prefix("QUERY ")?;
         let (id, text) = rest.split_once(' ')?;
-        let outcome = self.run(id, text).await?;
+        let outcome = self.execute(id, text).await?;
         let body = match outcome {
             Ok(content) => content,
             Err(code) => {
-                if self.state == 'T' && code != "LAGGING" {
-                    self.state = 'E';
+                if self.transaction_state == 'T' && code != "LAGGING" {
+                    self.transaction_state = 'E';
                 }
                 format!("ERROR {code} -\r\n")
             }
         };
-        Some(body + &self.ready())
+        Some(body + &self.ready_line())
     }
 
-    async fn run(&mut self, id: &str, text: &str) -> Option<Result<String, &'static str>> {
-        let (after, text) = split_position(text);
+    async fn execute(&mut self, id: &str, text: &str) -> Option<Result<String, &'static str>> {
+        let (required_position, text) = split_required_position(text);
         let words: Vec<&str> = text.split(' ').collect();
-        let leads = self.leads();
-        let done = || Some(Ok("COMPLETE -\r\n".to_owned()));
-        if self.state == 'E' && !matches!(words[0], "ROLLBACK" | "COMMIT") {
+        let is_leader = self.is_leader();
+        let complete = || Some(Ok("COMPLETE -\r\n".to_owned()));
+        if self.transaction_state == 'E' && !matches!(words[0], "ROLLBACK" | "COMMIT") {
             return Some(Err("MALFORMED"));
         }
-        if let Some(after) = after
-            && self.group.lock().position(self.member) < after
+        if let Some(required_position) = required_position
+            && self.group.lock().position(self.member) < required_position
         {
             return Some(Err("LAGGING"));
         }
@@ -131,40 +131,40 @@
             "STATUS" => {
                 let state = self.group.lock();
                 let (term, index) = state.position(self.member);
-                let role = if leads { "primary" } else { "replica" };
+                let role = if is_leader { "primary" } else { "replica" };
                 let open = state.members[self.member].connections.len();
                 Some(Ok(format!("ROW {role} {term} {term}.{index} 0 0 0 {open}\r\nCOMPLETE -\r\n")))
             }
             "RESET" => {
                 self.prepared.clear();
-                done()
+                complete()
             }
-            "SET" => done(),
+            "SET" => complete(),
             "PREPARE" => {
                 self.prepared.insert(words[1].to_owned(), words[2] == "WRITE");
-                done()
+                complete()
             }
-            "BEGIN" if self.state != 'I' => Some(Err("MALFORMED")),
-            "BEGIN" if words.len() == 1 && !leads => Some(Err("READONLY")),
+            "BEGIN" if self.transaction_state != 'I' => Some(Err("MALFORMED")),
+            "BEGIN" if words.len() == 1 && !is_leader => Some(Err("READONLY")),
             "BEGIN" => {
-                (self.state, self.writable) = ('T', words.len() == 1);
-                done()
+                (self.transaction_state, self.is_writable) = ('T', words.len() == 1);
+                complete()
             }
             "ROLLBACK" => {
                 self.writes.clear();
-                self.state = 'I';
-                done()
+                self.transaction_state = 'I';
+                complete()
             }
-            _ => self.work(id, text, &words, leads).await,
+            _ => self.execute_statement(id, text, &words, is_leader).await,
         }
     }
 
-    async fn work(
+    async fn execute_statement(
         &mut self,
         id: &str,
         text: &str,
         words: &[&str],
-        leads: bool,
+        is_leader: bool,
     ) -> Option<Result<String, &'static str>> {
         let writes = match words[0] {
             "READ" => false,
@@ -173,33 +173,35 @@
                 Some(writes) => *writes,
                 None => return Some(Err("NOSTMT")),
             },
-            "COMMIT" if self.state == 'T' => true,
+            "COMMIT" if self.transaction_state == 'T' => true,
             _ => return Some(Err("MALFORMED")),
         };
-        let commits = words[0] == "COMMIT";
-        let in_transaction = self.state == 'T';
-        let changes = if commits { !self.writes.is_empty() } else { writes };
-        if changes && !leads {
+        let is_commit = words[0] == "COMMIT";
+        let in_transaction = self.transaction_state == 'T';
+        let modifies_data = if is_commit { !self.writes.is_empty() } else { writes };
+        if modifies_data && !is_leader {
             return Some(Err("READONLY"));
         }
-        let slow = self.group.lock().members[self.member].faults.slow_team.clone();
-        let work = slow.filter(|(team, _)| *team == self.team).map_or(WORK_TIME, |(_, work)| work);
-        tokio::time::sleep(work).await;
+        let slow_team = self.group.lock().members[self.member].faults.slow_team.clone();
+        let duration = slow_team
+            .filter(|(team, _)| *team == self.team)
+            .map_or(STATEMENT_DURATION, |(_, duration)| duration);
+        tokio::time::sleep(duration).await;
         let mut state = self.group.lock();
         let faults = state.members[self.member].faults.clone();
         state.members[self.member].executed.push(ExecutedStatement {
             id: id.to_owned(),
             text: text.to_owned(),
             team: self.team.clone(),
-            connection: self.number,
+            connection: self.connection_id,
             in_transaction,
         });
         if !writes && faults.fails_reads {
             return Some(Err("FAILED"));
         }
         let mut content = String::new();
-        if commits {
-            self.state = 'I';
+        if is_commit {
+            self.transaction_state = 'I';
             let writes = std::mem::take(&mut self.writes);
             if !writes.is_empty() {
                 state.commit(writes);
@@ -216,21 +218,21 @@
             let row = state.read(self.member, words[words.len() - 1]).unwrap_or_default();
             content = format!("ROW {row}\r\n");
         }
-        let settles = commits || writes && !in_transaction;
-        if settles && faults.loses_commit_responses {
+        let is_commit_response = is_commit || writes && !in_transaction;
+        if is_commit_response && faults.loses_commit_responses {
             return None;
         }
-        let digest = format!("COMPLETE {}.{id}\r\n", state.members[self.member].id);
-        Some(Ok(content + &digest))
+        let completion = format!("COMPLETE {}.{id}\r\n", state.members[self.member].id);
+        Some(Ok(content + &completion))
     }
 
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.group.lock().leader == self.member
     }
 }
 
 /// Splits the position that the log must have reached from a text.
-fn split_position(text: &str) -> (Option<(u64, u64)>, &str) {
+fn split_required_position(text: &str) -> (Option<(u64, u64)>, &str) {
     let position = text.strip_prefix("AFTER ").and_then(|rest| {
         let (position, text) = rest.split_once(' ')?;
         let (term, index) = position.split_once('.')?;
--- a/crates/standin/src/gateway_platform/row_store.rs
+++ b/crates/standin/src/gateway_platform/row_store.rs
@@ -20,11 +20,11 @@
 use super::group::SharedGroup;
 
 /// Time that a promotion takes to come into force.
-const PROMOTION_TIME: Duration = Duration::from_millis(60);
+const PROMOTION_DURATION: Duration = Duration::from_millis(60);
 
 /// Row; without a value once it was removed.
 #[derive(Clone, Debug)]
-struct KeptRow {
+struct StoredRow {
     table: String,
     key: String,
     value: Option<Vec<u8>>,
@@ -46,10 +46,10 @@
 
 #[derive(Debug, Default)]
 struct StoreState {
-    rows: Vec<KeptRow>,
+    rows: Vec<StoredRow>,
     version: u64,
     history_start: u64,
-    down: bool,
+    unavailable: bool,
     promotions: Vec<PromotionRequest>,
 }
 
@@ -105,14 +105,14 @@
         state.version += 1;
         let version = state.version;
         state.rows.retain(|row| row.table != table || row.key != key);
-        state.rows.push(KeptRow { table: table.to_owned(), key: key.to_owned(), value, version });
+        state.rows.push(StoredRow { table: table.to_owned(), key: key.to_owned(), value, version });
         drop(state);
         self.changed.notify_waiters();
     }
 
     /// Refuses every call, or serves again.
-    pub fn set_unavailable(&self, down: bool) {
-        self.state.lock().down = down;
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.state.lock().unavailable = unavailable;
         self.changed.notify_waiters();
     }
 
@@ -131,65 +131,65 @@
         u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn answer(&self, rows: Vec<Value>) -> Value {
+    fn rows_response(&self, rows: Vec<Value>) -> Value {
         let version = self.state.lock().version;
         json!({ "rows": rows, "has_more": false, "row_version": version, "now_ms": self.now_ms() })
     }
 }
 
-fn show(row: &KeptRow) -> Value {
-    let mut shown = json!({
+fn row_json(row: &StoredRow) -> Value {
+    let mut fields = json!({
         "table": row.table, "part": "", "key": row.key, "row_version": row.version,
     });
     match &row.value {
-        Some(value) => shown["value"] = STANDARD.encode(value).into(),
-        None => shown["tombstone"] = true.into(),
+        Some(value) => fields["value"] = STANDARD.encode(value).into(),
+        None => fields["tombstone"] = true.into(),
     }
-    shown
+    fields
 }
 
 type StoreQuery = Query<HashMap<String, String>>;
 
-fn number(query: &HashMap<String, String>, name: &str) -> u64 {
+fn query_number(query: &HashMap<String, String>, name: &str) -> u64 {
     query.get(name).and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
 async fn rows_get(State(store): State<RowStore>, Query(query): StoreQuery) -> Response {
     let rows: Vec<Value> = {
         let state = store.state.lock();
-        if state.down {
+        if state.unavailable {
             return StatusCode::SERVICE_UNAVAILABLE.into_response();
         }
         let table = query.get("table").cloned().unwrap_or_default();
-        let kept = |row: &&KeptRow| row.table == table && row.value.is_some();
-        state.rows.iter().filter(kept).map(show).collect()
+        let is_present = |row: &&StoredRow| row.table == table && row.value.is_some();
+        state.rows.iter().filter(is_present).map(row_json).collect()
     };
-    Json(store.answer(rows)).into_response()
+    Json(store.rows_response(rows)).into_response()
 }
 
 async fn rows_feed(State(store): State<RowStore>, Query(query): StoreQuery) -> Response {
-    let (after, wait) = (number(&query, "after"), number(&query, "wait_ms"));
+    let (after, wait) = (query_number(&query, "after"), query_number(&query, "wait_ms"));
     let table = query.get("table").cloned().unwrap_or_default();
     let deadline = Instant::now() + Duration::from_millis(wait);
     loop {
         let changed = store.changed.notified();
         let rows: Vec<Value> = {
             let state = store.state.lock();
-            if state.down {
+            if state.unavailable {
                 return StatusCode::SERVICE_UNAVAILABLE.into_response();
             }
             if after < state.history_start {
                 return StatusCode::GONE.into_response();
             }
-            let news = |row: &&KeptRow| row.table == table && row.version > after;
-            state.rows.iter().filter(news).map(show).collect()
+            let is_newer = |row: &&StoredRow| row.table == table && row.version > after;
+            state.rows.iter().filter(is_newer).map(row_json).collect()
         };
-        let left = deadline.saturating_duration_since(Instant::now());
-        if !rows.is_empty() || left.is_zero() {
-            return Json(store.answer(rows)).into_response();
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if !rows.is_empty() || remaining.is_zero() {
+            return Json(store.rows_response(rows)).into_response();
         }
         // Running into the limit is an answer without rows.
-        let _ = tokio::time::timeout(left, changed).await;
+        let _ = tokio::time::timeout(remaining, changed).await;
     }
 }
 
@@ -198,16 +198,16 @@
     let entries = |name: &str| body[name].as_array().cloned().unwrap_or_default();
     {
         let state = store.state.lock();
-        if state.down {
+        if state.unavailable {
             return StatusCode::SERVICE_UNAVAILABLE.into_response();
         }
-        let holds = |expected: &Value| {
+        let version_matches = |expected: &Value| {
             let (table, key) = (text(expected, "table"), text(expected, "key"));
             let found = state.rows.iter().find(|row| row.table == table && row.key == key);
             let version = found.filter(|row| row.value.is_some()).map_or(0, |row| row.version);
             expected["row_version"].as_u64() == Some(version)
         };
-        if !entries("expected").iter().all(holds) {
+        if !entries("expected").iter().all(version_matches) {
             return StatusCode::PRECONDITION_FAILED.into_response();
         }
     }
@@ -239,7 +239,11 @@
     };
     {
         let mut state = store.state.lock();
-        if state.promotions.iter().any(|call| call.service == service && call.token > token) {
+        if state
+            .promotions
+            .iter()
+            .any(|request| request.service == service && request.token > token)
+        {
             return StatusCode::CONFLICT.into_response();
         }
         let (service, endpoint) = (service.to_owned(), id.to_owned());
@@ -250,7 +254,7 @@
     };
     let id = id.to_owned();
     tokio::spawn(async move {
-        tokio::time::sleep(PROMOTION_TIME).await;
+        tokio::time::sleep(PROMOTION_DURATION).await;
         group.lock().promote(&id);
     });
     StatusCode::OK.into_response()
--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -17,20 +17,20 @@
 /// Longest time between two batches to a replica.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 /// Entries sent in one batch.
-const BATCH_ENTRIES: usize = 256;
+const MAX_BATCH_ENTRIES: usize = 256;
 /// Time after which a blocked link or apply step is tried again.
-const RETRY_INTERVAL: Duration = Duration::from_millis(2);
+const RETRY_DELAY: Duration = Duration::from_millis(2);
 /// Interval at which a cut link is looked at.
-const CUT_INTERVAL: Duration = Duration::from_millis(10);
+const LINK_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Term under which a new group starts.
-const FIRST_TERM: u64 = 1;
+const INITIAL_TERM: u64 = 1;
 
 /// Errors of starting a group.
 #[derive(Debug, Snafu)]
 pub enum GroupError {
     /// A member's engine could not be created.
     #[snafu(display("{source}"), context(false))]
-    Engine {
+    Sqlite {
         /// Cause reported by the engine.
         source: EngineError,
     },
@@ -122,21 +122,23 @@
             let created = GroupMember::create(index, &member.name, &member.zone, settings.slots)?;
             members.push(Arc::new(created));
         }
-        elect_first(&members)?;
-        let shared = Arc::new(settings.clone());
+        promote_first(&members)?;
+        let shared_settings = Arc::new(settings.clone());
         let mut tasks = Vec::new();
         let mut addresses = Vec::new();
         for (member, settings) in members.iter().zip(&settings.members) {
             let address = settings.listen;
             let listener = TcpListener::bind(address).await.context(ListenSnafu { address })?;
             addresses.push(listener.local_addr().context(ListenSnafu { address })?);
-            let size = members.len();
-            let serve = session::serve(listener, member.clone(), shared.clone(), size);
-            tasks.push(tokio::spawn(serve));
-            tasks.push(tokio::spawn(apply(member.clone())));
+            let group_size = members.len();
+            let sessions =
+                session::serve(listener, member.clone(), shared_settings.clone(), group_size);
+            tasks.push(tokio::spawn(sessions));
+            tasks.push(tokio::spawn(apply_log(member.clone())));
             for replica in members.iter().filter(|other| other.index != member.index) {
-                let ship = ship(member.clone(), replica.clone(), shared.clone());
-                tasks.push(tokio::spawn(ship));
+                let replication =
+                    replicate(member.clone(), replica.clone(), shared_settings.clone());
+                tasks.push(tokio::spawn(replication));
             }
         }
         Ok(Self { settings, members, addresses, tasks })
@@ -148,47 +150,47 @@
     }
 }
 
-fn elect_first(members: &[Arc<GroupMember>]) -> Result<(), GroupError> {
+fn promote_first(members: &[Arc<GroupMember>]) -> Result<(), GroupError> {
     let Some(first) = members.first() else {
         return Ok(());
     };
-    first.update(|core| core.fence(FIRST_TERM))?;
-    first.update(|core| core.promote(FIRST_TERM))?;
+    first.update(|state| state.fence(INITIAL_TERM))?;
+    first.update(|state| state.promote(INITIAL_TERM))?;
     for replica in &members[1..] {
-        replica.update(|core| core.follow(FIRST_TERM, &first.name))?;
+        replica.update(|state| state.follow(INITIAL_TERM, &first.name))?;
     }
     Ok(())
 }
 
 /// Sends the log of `from` to `to` for as long as `from` is a primary.
-async fn ship(from: Arc<GroupMember>, to: Arc<GroupMember>, settings: Arc<GroupSettings>) {
+async fn replicate(from: Arc<GroupMember>, to: Arc<GroupMember>, settings: Arc<GroupSettings>) {
     let delay = zone_delay(&settings, &from.zone, &to.zone);
     let mut changes = from.changed.subscribe();
-    let mut held = 0;
+    let mut match_index = 0;
     loop {
         changes.borrow_and_update();
         let sent_at = Instant::now();
-        let batch = from.core.lock().batch_after(held, BATCH_ENTRIES);
-        if batch.is_some() && !is_linked(&from, &to) {
+        let batch = from.core.lock().batch_after(match_index, MAX_BATCH_ENTRIES);
+        if batch.is_some() && !is_connected(&from, &to) {
             // Nothing gets through, and waiting for a change would not end with the cut.
-            sleep(CUT_INTERVAL).await;
+            sleep(LINK_POLL_INTERVAL).await;
             continue;
         }
         if let Some(batch) = batch {
-            pause(delay).await;
-            let answer = to.update(|core| core.append(&from.name, &batch));
-            pause(delay).await;
-            match answer {
-                Ok(BatchAnswer::Held(index)) if is_linked(&from, &to) => {
-                    held = index;
+            simulate_delay(delay).await;
+            let response = to.update(|state| state.append(&from.name, &batch));
+            simulate_delay(delay).await;
+            match response {
+                Ok(BatchAnswer::Held(index)) if is_connected(&from, &to) => {
+                    match_index = index;
                     let term = batch.term;
-                    from.update(|core| core.acknowledge(to.index, term, index, sent_at));
+                    from.update(|state| state.acknowledge(to.index, term, index, sent_at));
                 }
                 Ok(BatchAnswer::Earlier(index)) => {
-                    held = index;
+                    match_index = index;
                     continue;
                 }
-                Ok(_) => sleep(RETRY_INTERVAL).await,
+                Ok(_) => sleep(RETRY_DELAY).await,
                 Err(error) => {
                     log::error!("member {} cannot take a batch: {error}", to.name);
                     sleep(HEARTBEAT_INTERVAL).await;
@@ -198,7 +200,7 @@
         // Acknowledgements wake the task as well; only a new entry or a barrier is worth a batch
         // before the next heartbeat.
         let heartbeat_at = Instant::now() + HEARTBEAT_INTERVAL;
-        while !is_batch_due(&from, held, sent_at) {
+        while !is_batch_due(&from, match_index, sent_at) {
             match timeout_at(heartbeat_at, changes.changed()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return,
@@ -208,13 +210,15 @@
     }
 }
 
-fn is_batch_due(from: &GroupMember, held: u64, sent_at: Instant) -> bool {
-    let core = from.core.lock();
-    let ships = core.is_primary() && !core.fault.cut && !core.fault.stopped && !core.fault.paused;
-    ships && (core.last_index() > held || core.barrier_at().is_some_and(|at| at > sent_at))
+fn is_batch_due(from: &GroupMember, match_index: u64, sent_at: Instant) -> bool {
+    let state = from.core.lock();
+    let can_send =
+        state.is_primary() && !state.fault.cut && !state.fault.stopped && !state.fault.paused;
+    can_send
+        && (state.last_index() > match_index || state.barrier_at().is_some_and(|at| at > sent_at))
 }
 
-fn is_linked(from: &GroupMember, to: &GroupMember) -> bool {
+fn is_connected(from: &GroupMember, to: &GroupMember) -> bool {
     let isolated = |member: &GroupMember| {
         let fault = member.fault();
         fault.cut || fault.stopped || fault.paused
@@ -223,14 +227,14 @@
 }
 
 /// Applies received entries when their lag is over.
-async fn apply(member: Arc<GroupMember>) {
+async fn apply_log(member: Arc<GroupMember>) {
     let mut changes = member.changed.subscribe();
     loop {
         changes.borrow_and_update();
         let next = member.core.lock().apply_due();
         match next {
-            Ok(Some(due)) => {
-                sleep_until(due).await;
+            Ok(Some(due_at)) => {
+                sleep_until(due_at).await;
                 member.changed.send_modify(|count| *count += 1);
             }
             Ok(None) => {
@@ -238,7 +242,7 @@
                     return;
                 }
             }
-            Err(MemberError::Engine { source: EngineError::Busy }) => sleep(RETRY_INTERVAL).await,
+            Err(MemberError::Engine { source: EngineError::Busy }) => sleep(RETRY_DELAY).await,
             Err(error) => {
                 log::error!("member {} cannot apply its log: {error}", member.name);
                 sleep(HEARTBEAT_INTERVAL).await;
@@ -255,7 +259,7 @@
     Duration::from_micros(settings.zone_delay_us)
 }
 
-async fn pause(delay: Duration) {
+async fn simulate_delay(delay: Duration) {
     if !delay.is_zero() {
         sleep(delay).await;
     }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -69,17 +69,17 @@
     let path = arguments.file;
     let text = std::fs::read_to_string(&path).context(ReadSnafu { path: path.clone() })?;
     let file: StandinFile = toml::from_str(&text).context(SyntaxSnafu { path })?;
-    let hub = Arc::new(StandinServices::default());
+    let services = Arc::new(StandinServices::default());
     for settings in file.groups {
         let name = settings.name.clone();
         let group = DatabaseGroup::start(settings).await?;
-        hub.groups.write().insert(name, Arc::new(group));
+        services.groups.write().insert(name, Arc::new(group));
     }
-    file.instances.into_iter().for_each(|record| hub.platform.put_instance(record));
+    file.instances.into_iter().for_each(|record| services.platform.put_instance(record));
     let address = arguments.listen;
     let listener = TcpListener::bind(address).await.context(ListenSnafu { address })?;
     tokio::select! {
-        served = control::serve(listener, hub) => Ok(served?),
+        served = control::serve(listener, services) => Ok(served?),
         () = program::shutdown_signal() => Ok(()),
     }
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -9,7 +9,7 @@
 use wire::platform::{InstanceRecord, TableRow, TableTransaction, TransactionReply};
 
 /// Versions of the instance list kept for lagging answers.
-const KEPT_LISTS: usize = 256;
+const MAX_LIST_VERSIONS: usize = 256;
 
 /// Faults of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -27,11 +27,11 @@
 
 /// Reason why an operation has no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PlatformFailure {
+pub enum PlatformError {
     /// The service is down; nothing took effect.
-    Down,
+    Unavailable,
     /// The operation took effect and its answer was lost.
-    AnswerLost,
+    ResponseLost,
 }
 
 /// Operations counted since the start.
@@ -50,7 +50,7 @@
     rows: BTreeMap<String, TableRow>,
     objects: BTreeMap<String, Vec<u8>>,
     instances: BTreeMap<String, InstanceRecord>,
-    lists: VecDeque<(Instant, Vec<InstanceRecord>)>,
+    list_versions: VecDeque<(Instant, Vec<InstanceRecord>)>,
     counts: OperationCounts,
 }
 
@@ -65,16 +65,16 @@
     pub async fn transact(
         &self,
         transaction: TableTransaction,
-    ) -> Result<TransactionReply, PlatformFailure> {
-        self.enter(true).await?;
-        let reply = self.state.lock().transact(transaction);
-        self.leave()?;
-        Ok(reply)
+    ) -> Result<TransactionReply, PlatformError> {
+        self.begin_operation(true).await?;
+        let response = self.state.lock().transact(transaction);
+        self.finish_write()?;
+        Ok(response)
     }
 
     /// Reads the rows whose key starts with `prefix`.
-    pub async fn scan(&self, prefix: &str) -> Result<Vec<TableRow>, PlatformFailure> {
-        self.enter(false).await?;
+    pub async fn scan(&self, prefix: &str) -> Result<Vec<TableRow>, PlatformError> {
+        self.begin_operation(false).await?;
         let state = self.state.lock();
         let range = state.rows.range(prefix.to_owned()..);
         Ok(range
@@ -84,21 +84,21 @@
     }
 
     /// Reads one row.
-    pub async fn row(&self, key: &str) -> Result<Option<TableRow>, PlatformFailure> {
-        self.enter(false).await?;
+    pub async fn row(&self, key: &str) -> Result<Option<TableRow>, PlatformError> {
+        self.begin_operation(false).await?;
         Ok(self.state.lock().rows.get(key).cloned())
     }
 
     /// Writes an object.
-    pub async fn put_object(&self, name: &str, bytes: Vec<u8>) -> Result<(), PlatformFailure> {
-        self.enter(true).await?;
+    pub async fn put_object(&self, name: &str, bytes: Vec<u8>) -> Result<(), PlatformError> {
+        self.begin_operation(true).await?;
         self.state.lock().objects.insert(name.to_owned(), bytes);
-        self.leave()
+        self.finish_write()
     }
 
     /// Reads an object.
-    pub async fn object(&self, name: &str) -> Result<Option<Vec<u8>>, PlatformFailure> {
-        self.enter(false).await?;
+    pub async fn object(&self, name: &str) -> Result<Option<Vec<u8>>, PlatformError> {
+        self.begin_operation(false).await?;
         Ok(self.state.lock().objects.get(name).cloned())
     }
 
@@ -106,8 +106,9 @@
     pub fn instances(&self) -> Vec<InstanceRecord> {
         let state = self.state.lock();
         let lag = Duration::from_millis(state.fault.list_lag_ms);
-        let old_enough = |(written, _): &&(Instant, Vec<InstanceRecord>)| written.elapsed() >= lag;
-        let list = state.lists.iter().rev().find(old_enough);
+        let old_enough =
+            |(recorded_at, _): &&(Instant, Vec<InstanceRecord>)| recorded_at.elapsed() >= lag;
+        let list = state.list_versions.iter().rev().find(old_enough);
         list.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
@@ -115,14 +116,14 @@
     pub fn put_instance(&self, record: InstanceRecord) {
         let mut state = self.state.lock();
         state.instances.insert(record.name.clone(), record);
-        state.record_list();
+        state.record_list_version();
     }
 
     /// Removes an instance from the list.
     pub fn remove_instance(&self, name: &str) {
         let mut state = self.state.lock();
         state.instances.remove(name);
-        state.record_list();
+        state.record_list_version();
     }
 
     /// Replaces the faults in force.
@@ -140,11 +141,11 @@
         self.state.lock().counts
     }
 
-    async fn enter(&self, write: bool) -> Result<(), PlatformFailure> {
+    async fn begin_operation(&self, is_write: bool) -> Result<(), PlatformError> {
         let fault = {
             let mut state = self.state.lock();
             let counts = &mut state.counts;
-            if write {
+            if is_write {
                 counts.writes += 1;
             } else {
                 counts.reads += 1;
@@ -154,30 +155,30 @@
         if fault.slow_ms > 0 {
             sleep(Duration::from_millis(fault.slow_ms)).await;
         }
-        if fault.down { Err(PlatformFailure::Down) } else { Ok(()) }
+        if fault.down { Err(PlatformError::Unavailable) } else { Ok(()) }
     }
 
-    fn leave(&self) -> Result<(), PlatformFailure> {
+    fn finish_write(&self) -> Result<(), PlatformError> {
         let mut state = self.state.lock();
         if state.fault.lose_answers == 0 {
             return Ok(());
         }
         state.fault.lose_answers -= 1;
-        Err(PlatformFailure::AnswerLost)
+        Err(PlatformError::ResponseLost)
     }
 }
 
 impl PlatformState {
     fn transact(&mut self, transaction: TableTransaction) -> TransactionReply {
         let current = |key: &str| self.rows.get(key).map_or(0, |row| row.revision);
-        let differing: Vec<&str> = transaction
+        let conflicting: Vec<&str> = transaction
             .checks
             .iter()
             .filter(|check| current(&check.key) != check.revision)
             .map(|check| check.key.as_str())
             .collect();
-        if !differing.is_empty() {
-            let rows = differing.iter().filter_map(|key| self.rows.get(*key).cloned()).collect();
+        if !conflicting.is_empty() {
+            let rows = conflicting.iter().filter_map(|key| self.rows.get(*key).cloned()).collect();
             return TransactionReply::Conflict { rows };
         }
         self.revision += 1;
@@ -196,11 +197,11 @@
         TransactionReply::Applied { revision }
     }
 
-    fn record_list(&mut self) {
+    fn record_list_version(&mut self) {
         let list = self.instances.values().cloned().collect();
-        self.lists.push_back((Instant::now(), list));
-        if self.lists.len() > KEPT_LISTS {
-            self.lists.pop_front();
+        self.list_versions.push_back((Instant::now(), list));
+        if self.list_versions.len() > MAX_LIST_VERSIONS {
+            self.list_versions.pop_front();
         }
     }
 }
