--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that write, read their own writes and remember what they were told.
+//! Callers that write, read their own writes and record the outcomes reported to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,60 +12,60 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Key of the callers' team.
+/// API key of the callers' team.
 pub const CALLER_API_KEY: &str = "soak-key";
-/// Time in which an answer must come; the route's limit is 800 ms.
+/// Timeout of a connect and of each response line; the timeout of the routes is 800 ms.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// What a caller was told about a write.
+/// Outcome of a write as reported to the caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportedOutcome {
-    /// It is kept.
+    /// The write is committed.
     Acknowledged,
-    /// Nothing of it is kept.
+    /// The write is not committed.
     NotCommitted,
-    /// Nothing is known.
+    /// The write may or may not be committed.
     Unknown,
 }
 
-/// Write with what the caller was told.
+/// Write that a caller attempted, with its reported outcome.
 #[derive(Clone, Debug)]
 pub struct AttemptedWrite {
-    /// Item.
+    /// Item that was written.
     pub item: String,
-    /// Data, unique over the run.
+    /// Written data, unique in the run.
     pub data: String,
-    /// What the caller was told.
+    /// Outcome reported to the caller.
     pub outcome: ReportedOutcome,
 }
 
-/// What callers saw.
+/// Operations of all callers and their results.
 #[derive(Debug, Default)]
 pub struct CallerHistory {
-    /// Writes in the order in which they ended.
+    /// Writes in order of completion.
     pub writes: Vec<AttemptedWrite>,
-    /// Breaches of promises that a caller saw itself.
+    /// Violations of invariants that a caller detected itself.
     pub violations: Vec<String>,
-    /// Reads that were answered.
+    /// Number of successful reads.
     pub reads: usize,
-    /// Data of a read that showed something older than the session's own acknowledged write, with
-    /// that write; allowed only if the write was rolled back by a promotion.
+    /// Reads that did not return the session's last acknowledged write: the data read and that
+    /// write. Allowed only if a promotion rolled the write back.
     pub regressions: Vec<(String, String)>,
 }
 
 /// History shared by all callers.
 pub type SharedHistory = Arc<Mutex<CallerHistory>>;
 
-/// One caller.
+/// One caller; only it writes its item.
 pub struct SoakCaller {
     number: u32,
     rng: StdRng,
     addresses: Vec<SocketAddr>,
     history: SharedHistory,
-    last_number: u32,
+    last_operation: u32,
 }
 
-/// Open session.
+/// Open session with an instance.
 struct CallerSession {
     lines: tokio::io::Lines<BufReader<tokio::net::tcp::OwnedReadHalf>>,
     writer: tokio::net::tcp::OwnedWriteHalf,
@@ -81,7 +81,7 @@
         response.first()?.starts_with("READY").then_some(session)
     }
 
-    /// Sends a line and returns the lines of the answer; none if it did not come whole.
+    /// Sends a line and returns the lines of the response, or `None` if it is incomplete.
     async fn exchange(&mut self, line: &str) -> Option<Vec<String>> {
         self.writer.write_all(line.as_bytes()).await.ok()?;
         let mut response = Vec::new();
@@ -111,13 +111,13 @@
 }
 
 impl SoakCaller {
-    /// Creates a caller with its own stream of choices.
+    /// Creates a caller whose random choices depend on `seed` and `number`.
     pub fn new(number: u32, seed: u64, addresses: Vec<SocketAddr>, history: SharedHistory) -> Self {
         let rng = StdRng::seed_from_u64(seed ^ u64::from(number).wrapping_mul(0x9e37_79b9));
-        Self { number, rng, addresses, history, last_number: 0 }
+        Self { number, rng, addresses, history, last_operation: 0 }
     }
 
-    /// Works until told to stop.
+    /// Opens one session after another until `stop` is set.
     pub async fn run(mut self, stop: watch::Receiver<bool>) {
         while !*stop.borrow() {
             let address = self.addresses[self.rng.random_range(0..self.addresses.len())];
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Runs some operations in one session.
+    /// Runs a random number of operations in one session.
     async fn run_session(&mut self, mut session: CallerSession) {
         let mut last_write: Option<String> = None;
         for _ in 0..self.rng.random_range(1..8) {
@@ -146,20 +146,20 @@
             };
             match result {
                 Some((data, ReportedOutcome::Acknowledged)) => last_write = Some(data),
-                // What may or may not be there makes later reads undecided.
+                // After an unknown outcome either value is a valid read.
                 Some((_, ReportedOutcome::Unknown)) => last_write = None,
                 Some((_, ReportedOutcome::NotCommitted)) => {}
                 None => return,
             }
             sleep(Duration::from_millis(self.rng.random_range(0..25))).await;
         }
-        // The session ends anyway; an instance that is gone needs no farewell.
+        // The connection is closed next, so a failure to send does not matter.
         let _ = session.writer.write_all(b"TERMINATE\r\n").await;
     }
 
     fn next_id(&mut self, kind: char) -> String {
-        self.last_number += 1;
-        format!("{kind}{}n{}", self.number, self.last_number)
+        self.last_operation += 1;
+        format!("{kind}{}n{}", self.number, self.last_operation)
     }
 
     async fn write(
@@ -183,7 +183,7 @@
         for (step, text) in steps.iter().enumerate() {
             let response = session.exchange(&format!("QUERY {data}s{step} {text}\r\n")).await;
             let Some(response) = response else {
-                // Without a commit nothing can be kept, whatever became of the connection.
+                // `COMMIT` was not sent, so the write cannot be committed.
                 self.record_write(item, &data, ReportedOutcome::NotCommitted);
                 return None;
             };
@@ -199,7 +199,7 @@
         response.map(|response| (data, reported_outcome(Some(&response))))
     }
 
-    /// Reads an item that only this caller writes; none if the session is lost.
+    /// Reads an item that only this caller writes. Returns `None` if the session is lost.
     async fn read(
         &mut self,
         session: &mut CallerSession,
@@ -215,7 +215,9 @@
         let mut history = self.history.lock();
         history.reads += 1;
         match value {
-            None => history.violations.push(format!("{id}: success without a row: {response:?}")),
+            None => {
+                history.violations.push(format!("read {id} succeeded without a row: {response:?}"))
+            }
             Some(value) if last_write.is_some_and(|last_write| last_write != value) => {
                 let last_write = last_write.unwrap_or_default().to_owned();
                 history.regressions.push((value.to_owned(), last_write));
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Seeded series of faults that overlap.
+//! Schedule of overlapping faults, generated from a seed.
 
 use std::time::Duration;
 
@@ -7,53 +7,53 @@
 
 use crate::relay::RelayMode;
 
-/// Trouble, and what it befalls.
+/// Fault, with the index of the instance or member that it affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultAction {
-    /// The process is stopped and goes on later.
+    /// Suspends the process and resumes it later.
     PauseInstance(usize),
-    /// The process is killed and starts again.
+    /// Kills the process and starts it again.
     KillInstance(usize),
-    /// The process is told to stop, ends and starts again.
+    /// Shuts the process down gracefully and starts it again.
     TerminateInstance(usize),
-    /// The way to a member changes.
+    /// Changes the mode of the relay in front of a member.
     SetMemberRelay(usize, RelayMode),
-    /// Connections to a member are reset.
+    /// Closes all connections to a member.
     ResetMemberConnections(usize),
-    /// Open connections to a member go silent for good.
+    /// Drops all further bytes on the open connections to a member.
     BlackholeMemberConnections(usize),
-    /// The way of an instance to the store changes.
+    /// Changes the mode of the relay between an instance and the row store.
     SetStoreRelay(usize, RelayMode),
-    /// Open connections of an instance to the store go silent for good.
+    /// Drops all further bytes on the open connections of an instance to the row store.
     BlackholeStoreConnections(usize),
-    /// The store refuses every call.
+    /// Makes the row store fail its requests.
     MakeStoreUnavailable,
-    /// The store forgets its history.
+    /// Discards the change history of the row store.
     CompactStoreHistory,
-    /// A member answers nothing.
+    /// Makes a member accept statements without responding.
     MakeMemberUnresponsive(usize),
-    /// A member applies nothing.
+    /// Makes a member apply no log entries.
     StopMemberReplication(usize),
-    /// A member closes the connection in place of answers to commits.
+    /// Makes a member close the connection instead of responding to commits.
     LoseCommitResponses(usize),
-    /// A member fails reads.
+    /// Makes a member fail reads.
     FailMemberReads(usize),
-    /// A document with a new version comes.
+    /// Publishes a document with a new version.
     PublishDocument,
 }
 
-/// Fault with its time.
+/// Fault with its start time and duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledFault {
     /// Time from the start of the run.
     pub starts_at: Duration,
-    /// How long it lasts.
+    /// Time until the fault ends; instantaneous faults ignore it.
     pub duration: Duration,
-    /// What happens.
+    /// Fault to inject.
     pub action: FaultAction,
 }
 
-/// Returns the faults of a seed in the order of their times.
+/// Returns the faults for a seed in the order of their start times, all before `fault_period`.
 pub fn schedule_faults(
     seed: u64,
     fault_period: Duration,
--- a/crates/soak/src/instance.rs
+++ b/crates/soak/src/instance.rs
@@ -1,4 +1,4 @@
-//! Instance under test: a process of its own that gets signals.
+//! Process of an instance under test.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -7,23 +7,23 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::process::{Child, Command};
 
-/// Where an instance finds the platform, and its own place.
+/// Configuration of an instance: its addresses and its availability zone.
 #[derive(Clone, Debug)]
 pub struct InstanceConfig {
-    /// Number from one, the last part of its address.
+    /// Number of the instance, from one; the last octet of its IP address.
     pub number: u8,
-    /// First three parts of its address; runs side by side have different ones.
+    /// First three octets of its IP address; concurrent runs use different ones.
     pub network: [u8; 3],
     /// Availability zone.
     pub zone: String,
-    /// Store as this instance reaches it.
+    /// Address at which this instance reaches the platform's services.
     pub store: SocketAddr,
-    /// Ports for callers, readiness and other instances.
+    /// First of three consecutive ports: callers, readiness and other instances.
     pub base_port: u16,
 }
 
 impl InstanceConfig {
-    /// Returns the address for callers.
+    /// Returns the address on which the instance serves callers.
     pub fn caller_address(&self) -> SocketAddr {
         SocketAddr::from((self.ip(), self.base_port))
     }
@@ -52,7 +52,7 @@
 /// Process of an instance.
 #[derive(Debug)]
 pub struct InstanceProcess {
-    /// Its place.
+    /// Configuration of the instance.
     pub config: InstanceConfig,
     program: PathBuf,
     folder: PathBuf,
@@ -61,7 +61,7 @@
 }
 
 impl InstanceProcess {
-    /// Describes an instance; its log and settings go to `folder`.
+    /// Creates a stopped instance; its log and settings file are written to `folder`.
     pub fn new(config: InstanceConfig, program: &Path, folder: &Path) -> Self {
         let (program, folder) = (program.to_owned(), folder.to_owned());
         Self { config, program, folder, child: None, start_count: 0 }
@@ -91,7 +91,7 @@
         Ok(())
     }
 
-    /// Sends a signal to this process and no other.
+    /// Sends a signal to the process; does nothing if it is not running.
     pub fn send_signal(&self, signal: Signal) -> std::io::Result<()> {
         let id = self.child.as_ref().and_then(Child::id);
         let id = id.and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
@@ -101,15 +101,15 @@
         }
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process has exited.
     pub async fn wait_for_exit(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // The status of a process that got a signal says nothing of interest.
+            // The exit status of a process that was sent a signal is irrelevant.
             let _ = child.wait().await;
         }
     }
 
-    /// Tells whether the process ended without having been told to.
+    /// Returns whether the process has exited without being stopped by the run.
     pub fn has_exited_unexpectedly(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what members did.
+//! Compares the outcomes reported to callers with the state of the members.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,10 +7,10 @@
 
 use crate::caller::{CallerHistory, ReportedOutcome};
 
-/// Team of the callers, as members must be told.
+/// Team of the callers, which every statement on a member must carry.
 pub const CALLER_TEAM: &str = "gent";
 
-/// Returns every promise that was broken, one line each.
+/// Returns all violated invariants, one line each.
 pub fn check_invariants(
     history: &CallerHistory,
     group: &GroupState,
@@ -42,14 +42,16 @@
         };
         if !is_consistent {
             violations.push(format!(
-                "{} was told {:?} and is there {commits} times",
+                "write {} was reported as {:?} and committed {commits} times",
                 write.data, write.outcome
             ));
         }
     }
     for (value, last_write) in &history.regressions {
         if !rolled_back.contains(last_write.as_str()) {
-            violations.push(format!("a session read {value:?} after its own write {last_write}"));
+            violations.push(format!(
+                "a session read {value:?} after its acknowledged write {last_write}"
+            ));
         }
     }
 }
@@ -58,15 +60,15 @@
     let mut connections_by_transaction: HashMap<&str, HashSet<u64>> = HashMap::new();
     for statement in group.members.iter().flat_map(|member| &member.executed) {
         if statement.team != CALLER_TEAM {
-            violations.push(format!("{} ran for team {}", statement.id, statement.team));
+            violations.push(format!("statement {} ran for team {}", statement.id, statement.team));
         }
         if !statement.id.starts_with('t') {
             continue;
         }
         if !statement.in_transaction {
-            violations.push(format!("{} ran outside of its transaction", statement.id));
+            violations.push(format!("statement {} ran outside its transaction", statement.id));
         }
-        // The first statement may be sent again elsewhere; what follows stays where it is.
+        // The first statement may be retried on another connection; later ones must stay on theirs.
         if let Some((transaction, "s2")) = statement.id.split_at_checked(statement.id.len() - 2) {
             connections_by_transaction.entry(transaction).or_default().insert(statement.connection);
         } else if let Some(transaction) = statement.id.strip_suffix('c') {
@@ -74,7 +76,7 @@
         }
     }
     let moved = connections_by_transaction.iter().filter(|(_, connections)| connections.len() > 1);
-    violations.extend(moved.map(|(id, _)| format!("{id} ran on several connections")));
+    violations.extend(moved.map(|(id, _)| format!("transaction {id} ran on several connections")));
 }
 
 fn check_promotions(promotions: &[PromotionRequest], violations: &mut Vec<String>) {
@@ -83,7 +85,7 @@
         let first_holder = holders.entry(request.token).or_insert(&request.holder);
         if *first_holder != request.holder {
             violations.push(format!(
-                "token {} used by {} and {first_holder}",
+                "fencing token {} was used by {} and {first_holder}",
                 request.token, request.holder
             ));
         }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,4 +1,4 @@
-//! Randomized soak: real instances as processes, faults from outside, promises checked meanwhile.
+//! Randomized soak test: runs real instance processes under injected faults and checks invariants.
 
 pub mod caller;
 pub mod fault;
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -1,4 +1,4 @@
-//! Loopback relay that delays, resets, cuts or silences the connections through it.
+//! TCP relay on loopback that delays, drops or resets the traffic of its connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,37 +11,37 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Bytes passed on at once.
+/// Maximum number of bytes forwarded at once.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Direction of bytes.
+/// Direction of traffic through the relay.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum RelayDirection {
     ToTarget,
     FromTarget,
 }
 
-/// What happens to bytes.
+/// Treatment of the traffic through a relay.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RelayMode {
-    /// They pass.
+    /// Forwards all bytes.
     Forward,
-    /// They pass late.
+    /// Forwards each chunk after a delay.
     Delay(Duration),
-    /// Those towards the target are swallowed.
+    /// Drops the bytes sent to the target.
     DropToTarget,
-    /// Those from the target are swallowed.
+    /// Drops the bytes sent by the target.
     DropFromTarget,
-    /// All are swallowed, on new connections too.
+    /// Drops all bytes, on new connections too.
     DropAll,
 }
 
 #[derive(Debug)]
 struct RelayState {
     mode: watch::Sender<RelayMode>,
-    /// Connections up to this number are silent for good.
+    /// Connections up to this number are blackholed: all their bytes are dropped.
     last_blackholed: AtomicU64,
-    /// Raised to end all open connections.
+    /// Incremented to close all open connections.
     resets: watch::Sender<u32>,
     opened_count: AtomicU64,
     reset_count: AtomicU32,
@@ -50,7 +50,7 @@
 /// Relay in front of one target.
 #[derive(Clone, Debug)]
 pub struct FaultRelay {
-    /// Address that callers of the target use.
+    /// Listen address of the relay, to be used in place of the target's address.
     pub address: SocketAddr,
     state: Arc<RelayState>,
 }
@@ -76,18 +76,18 @@
         Ok(Self { address, state })
     }
 
-    /// Changes what happens to bytes.
+    /// Changes the mode for open and new connections.
     pub fn set_mode(&self, mode: RelayMode) {
         self.state.mode.send_replace(mode);
     }
 
-    /// Ends all open connections.
+    /// Closes all open connections.
     pub fn reset_open_connections(&self) {
         let count = self.state.reset_count.fetch_add(1, Ordering::Relaxed) + 1;
         self.state.resets.send_replace(count);
     }
 
-    /// Silences all open connections for good; new ones work.
+    /// Drops all further bytes on the open connections; new connections are not affected.
     pub fn blackhole_open_connections(&self) {
         let opened_count = self.state.opened_count.load(Ordering::Relaxed);
         self.state.last_blackholed.store(opened_count, Ordering::Relaxed);
@@ -95,26 +95,30 @@
 }
 
 async fn relay_connection(state: Arc<RelayState>, client: TcpStream, target: SocketAddr) {
-    let connection_number = state.opened_count.fetch_add(1, Ordering::Relaxed) + 1;
+    let connection = state.opened_count.fetch_add(1, Ordering::Relaxed) + 1;
     let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    // Without the option bytes only come later.
+    // A failure only adds latency.
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let (client_reader, client_writer) = client.into_split();
     let (server_reader, server_writer) = server.into_split();
     let mut resets = state.resets.subscribe();
     resets.mark_unchanged();
     tokio::select! {
-        () = forward(&state, connection_number, RelayDirection::ToTarget, client_reader, server_writer) => {}
-        () = forward(&state, connection_number, RelayDirection::FromTarget, server_reader, client_writer) => {}
+        () = forward(
+            &state, connection, RelayDirection::ToTarget, client_reader, server_writer
+        ) => {}
+        () = forward(
+            &state, connection, RelayDirection::FromTarget, server_reader, client_writer
+        ) => {}
         _ = resets.changed() => {}
     }
 }
 
 async fn forward(
     state: &RelayState,
-    connection_number: u64,
+    connection: u64,
     direction: RelayDirection,
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
@@ -123,7 +127,7 @@
     loop {
         let read = reader.read(&mut chunk).await;
         let mode = *state.mode.borrow();
-        let is_dropped = connection_number <= state.last_blackholed.load(Ordering::Relaxed)
+        let is_dropped = connection <= state.last_blackholed.load(Ordering::Relaxed)
             || match mode {
                 RelayMode::Forward | RelayMode::Delay(_) => false,
                 RelayMode::DropToTarget => direction == RelayDirection::ToTarget,
@@ -131,7 +135,7 @@
                 RelayMode::DropAll => true,
             };
         let read = match read {
-            // A cut hides the end of a connection, too.
+            // A peer behind a partition does not see the connection close either.
             Ok(0) | Err(_) if is_dropped => std::future::pending().await,
             Ok(0) | Err(_) => return,
             Ok(read) => read,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: starts everything, plays the faults of a seed, mends them, checks.
+//! One run of the soak: starts the environment, injects the faults of a seed and checks invariants.
 
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -21,64 +21,64 @@
 use crate::invariants::{CALLER_TEAM, check_invariants};
 use crate::relay::{FaultRelay, RelayMode};
 
-/// Members of the group.
+/// Number of members in the database group.
 const MEMBER_COUNT: usize = 3;
-/// Service of the run.
+/// Name of the service that the database group provides.
 const SERVICE: &str = "bookings";
-/// Time in which instances must serve after the last fault was mended; the users' bound.
+/// Time within which all instances must serve again after the last fault; required by the users.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
-/// Time in which all instances must be up.
+/// Time within which all instances must serve after their first start.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time in which a process must end after it was told to; its grace period and some more.
+/// Time within which a process must exit after a signal: its grace period of 4 s plus a margin.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Error that keeps a run from taking place.
+/// Error that prevents a run.
 #[derive(Debug, Snafu)]
 pub enum SoakError {
-    /// Files, sockets or processes cannot be had.
-    #[snafu(display("the soak cannot run: {source}"))]
+    /// A file, socket or process could not be created.
+    #[snafu(display("cannot set up the soak: {source}"))]
     Io {
         /// Cause reported by the operating system.
         source: std::io::Error,
     },
-    /// The instances did not start.
-    #[snafu(display("the instances did not serve within {} s", STARTUP_TIMEOUT.as_secs()))]
+    /// Not all instances served in time.
+    #[snafu(display("not all instances served within {} s", STARTUP_TIMEOUT.as_secs()))]
     NotStarted,
 }
 
 /// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct SoakSettings {
-    /// Seed of faults and callers.
+    /// Seed of the fault schedule and of the callers' choices.
     pub seed: u64,
-    /// Time during which faults begin.
+    /// Time from the start during which new faults are injected.
     pub fault_period: Duration,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Callers.
+    /// Number of concurrent callers.
     pub callers: u32,
-    /// Program of an instance.
+    /// Executable of an instance.
     pub program: PathBuf,
-    /// Folder for settings and logs; kept if a promise was broken.
+    /// Existing folder for the settings and logs of the instances; to be kept after a violation.
     pub folder: PathBuf,
 }
 
-/// What a run brought.
+/// Result of a run.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// Promises that were broken.
+    /// Violated invariants and failures of the run, one line each.
     pub violations: Vec<String>,
-    /// Faults that were played.
+    /// Number of injected faults.
     pub faults: usize,
-    /// Writes that were tried.
+    /// Number of attempted writes.
     pub writes: usize,
-    /// Reads that were answered.
+    /// Number of successful reads.
     pub reads: usize,
 }
 
 type SharedProcess = Arc<tokio::sync::Mutex<InstanceProcess>>;
 
-/// Everything that runs.
+/// Running stand-ins, relays and instances.
 struct SoakEnvironment {
     store: RowStore,
     group: SharedGroup,
@@ -89,7 +89,7 @@
     document_version: Mutex<u64>,
 }
 
-/// Plays a seed.
+/// Runs the soak with one seed.
 pub async fn run(settings: &SoakSettings) -> Result<SoakReport, SoakError> {
     let environment = Arc::new(SoakEnvironment::start(settings).await?);
     let addresses: Vec<_> = {
@@ -119,14 +119,14 @@
     }
     for fault in fault_tasks {
         if let Err(error) = fault.await {
-            environment.failures.lock().push(format!("a fault could not be played: {error}"));
+            environment.failures.lock().push(format!("the task of a fault failed: {error}"));
         }
     }
     environment.check_recovery(&addresses).await;
     stop.send_replace(true);
     for caller in callers {
         if let Err(error) = caller.await {
-            environment.failures.lock().push(format!("a caller ended: {error}"));
+            environment.failures.lock().push(format!("the task of a caller failed: {error}"));
         }
     }
     environment.stop().await;
@@ -209,13 +209,14 @@
             "services": [{ "name": SERVICE, "max_connections": 20, "sync_replicas": 0 }],
             "limits": { "transaction_idle_ms": 3_000 },
             "tenants": [{
-                "name": CALLER_TEAM, "api_keys": [CALLER_API_KEY], "rate_per_s": 2_000, "burst": 2_000,
+                "name": CALLER_TEAM, "api_keys": [CALLER_API_KEY],
+                "rate_per_s": 2_000, "burst": 2_000,
             }],
         });
         self.store.put("op", "config", &document);
     }
 
-    /// Registers the members as they see themselves, whenever that changed.
+    /// Registers the members with their current roles.
     fn register_members(&self) {
         let leader = self.group.lock().leader;
         for (index, relay) in self.member_relays.iter().enumerate() {
@@ -232,7 +233,7 @@
         }
     }
 
-    /// Lets a fault begin and mends it.
+    /// Injects a fault and ends it after `duration`.
     async fn inject_fault(&self, action: FaultAction, duration: Duration) {
         match action {
             FaultAction::PauseInstance(index) => {
@@ -247,7 +248,7 @@
                 self.member_relays[index].set_mode(mode);
                 sleep(duration).await;
                 self.member_relays[index].set_mode(RelayMode::Forward);
-                // Bytes that were swallowed leave the connection useless.
+                // After dropped bytes the protocol is out of sync on the open connections.
                 self.member_relays[index].reset_open_connections();
             }
             FaultAction::ResetMemberConnections(index) => {
@@ -314,7 +315,7 @@
         if timeout(SHUTDOWN_TIMEOUT, process.wait_for_exit()).await.is_err() {
             self.failures
                 .lock()
-                .push(format!("instance {index} did not end within its grace period"));
+                .push(format!("instance {index} did not exit within its grace period"));
         }
         sleep(Duration::from_millis(200)).await;
         self.record_failure(process.start());
@@ -322,11 +323,11 @@
 
     fn record_failure(&self, result: std::io::Result<()>) {
         if let Err(error) = result {
-            self.failures.lock().push(format!("a fault could not be played: {error}"));
+            self.failures.lock().push(format!("cannot inject a fault: {error}"));
         }
     }
 
-    /// Checks that every instance serves a write again.
+    /// Checks that every instance serves again within [`RECOVERY_TIMEOUT`].
     async fn check_recovery(&self, addresses: &[std::net::SocketAddr]) {
         let started_at = Instant::now();
         for address in addresses {
@@ -335,7 +336,7 @@
                 if started_at.elapsed() > RECOVERY_TIMEOUT {
                     self.failures
                         .lock()
-                        .push(format!("{address} serves nothing after all is mended"));
+                        .push(format!("{address} does not serve after the last fault has ended"));
                     break;
                 }
                 sleep(Duration::from_millis(100)).await;
@@ -348,7 +349,7 @@
             let mut process = process.lock().await;
             if process.has_exited_unexpectedly() {
                 let number = process.config.number;
-                self.failures.lock().push(format!("instance {number} ended by itself"));
+                self.failures.lock().push(format!("instance {number} exited unexpectedly"));
             }
             self.record_failure(process.send_signal(Signal::KILL));
             process.wait_for_exit().await;
@@ -356,7 +357,7 @@
     }
 }
 
-/// Tells whether an instance serves a read through the leader.
+/// Returns whether an instance serves a read on the leader.
 async fn is_serving(address: std::net::SocketAddr) -> bool {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let probe = async {
@@ -374,7 +375,9 @@
     timeout(Duration::from_secs(2), probe).await.ok().flatten().is_some()
 }
 
-/// Returns the first of three ports that are free on the addresses of the instances.
+/// Returns the first of three consecutive ports for the instances.
+///
+/// Only the first port is checked, and only on the address of the first instance.
 fn free_base_port([first, second, third]: [u8; 3]) -> std::io::Result<u16> {
     loop {
         let listener = std::net::TcpListener::bind((Ipv4Addr::new(first, second, third, 1), 0))?;
@@ -385,7 +388,7 @@
     }
 }
 
-/// Returns the folder for a seed below `folder`.
+/// Returns the subfolder of `folder` for a seed.
 pub fn seed_folder(folder: &Path, seed: u64) -> PathBuf {
     folder.join(format!("seed-{seed}"))
 }
--- a/crates/soak/tests/invariants.rs
+++ b/crates/soak/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The checks of the soak find what they are there for, and faults come alike for a seed.
+//! The soak detects each kind of violation, and a seed always gives the same fault schedule.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     ExecutedStatement { id, text: "READ a".to_owned(), team, connection, in_transaction }
 }
 
-/// Names a case: what is written, what was told, what members ran, and whether it is a breach.
+/// Defines a case: committed data, attempted writes, executed statements, number of violations.
 macro_rules! invariant_case {
     ($name:ident, $committed:expr, $writes:expr, $executed:expr, $violations:literal) => {
         #[test]
@@ -36,25 +36,49 @@
 }
 
 invariant_case!(
-    kept_as_told,
+    acknowledged_write_is_committed,
     vec!["w1"],
     vec![write("w1", ReportedOutcome::Acknowledged)],
     vec![],
     0
 );
-invariant_case!(lost, vec![], vec![write("w1", ReportedOutcome::Acknowledged)], vec![], 1);
-invariant_case!(twice, vec!["w1", "w1"], vec![write("w1", ReportedOutcome::Unknown)], vec![], 1);
 invariant_case!(
-    kept_though_refused,
+    acknowledged_write_is_lost,
+    vec![],
+    vec![write("w1", ReportedOutcome::Acknowledged)],
+    vec![],
+    1
+);
+invariant_case!(
+    write_is_committed_twice,
+    vec!["w1", "w1"],
+    vec![write("w1", ReportedOutcome::Unknown)],
+    vec![],
+    1
+);
+invariant_case!(
+    rejected_write_is_committed,
     vec!["w1"],
     vec![write("w1", ReportedOutcome::NotCommitted)],
     vec![],
     1
 );
-invariant_case!(unknown_either_way, vec![], vec![write("w1", ReportedOutcome::Unknown)], vec![], 0);
-invariant_case!(outside, vec![], vec![], vec![statement("t1n1s0", 1, false)], 1);
 invariant_case!(
-    moved,
+    write_with_unknown_outcome_is_lost,
+    vec![],
+    vec![write("w1", ReportedOutcome::Unknown)],
+    vec![],
+    0
+);
+invariant_case!(
+    statement_runs_outside_its_transaction,
+    vec![],
+    vec![],
+    vec![statement("t1n1s0", 1, false)],
+    1
+);
+invariant_case!(
+    transaction_runs_on_two_connections,
     vec![],
     vec![],
     vec![statement("t1n1s2", 1, true), statement("t1n1c", 2, true)],
@@ -62,7 +86,7 @@
 );
 
 #[test]
-fn a_read_behind_an_own_write_is_a_breach() {
+fn a_read_older_than_the_own_write_is_a_violation() {
     let group = GroupState::new("bookings", &["m-1"]);
     let regressions = vec![("w1".to_owned(), "w2".to_owned())];
     let history = CallerHistory { regressions, ..CallerHistory::default() };
@@ -70,7 +94,7 @@
 }
 
 #[test]
-fn a_token_of_two_holders_is_a_breach() {
+fn a_token_with_two_holders_is_a_violation() {
     let group = GroupState::new("bookings", &["m-1"]);
     let request = |holder: &str| PromotionRequest {
         service: "bookings".to_owned(),
@@ -83,7 +107,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_faults() {
+fn a_seed_gives_the_same_schedule() {
     let fault_period = Duration::from_secs(30);
     assert_eq!(schedule_faults(7, fault_period, 3, 3), schedule_faults(7, fault_period, 3, 3));
     assert_ne!(schedule_faults(7, fault_period, 3, 3), schedule_faults(8, fault_period, 3, 3));
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -1,4 +1,4 @@
-//! HTTP interface of the stand-ins: the platform's services and the switches for faults.
+//! HTTP interface of the stand-ins: the platform's services and the fault control API.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,20 +20,20 @@
 use crate::group::DatabaseGroup;
 use crate::platform::{PlatformError, PlatformFault, PlatformService};
 
-/// Largest accepted body in bytes.
+/// Maximum size of a request body in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Error of serving the interface.
+/// Error of serving the HTTP interface.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot serve on {address}: {source}"))]
 pub struct ControlError {
-    /// Address that was tried.
+    /// Listen address, or 0.0.0.0:0 if it could not be determined.
     pub address: SocketAddr,
-    /// Cause reported by the system.
+    /// Cause reported by the operating system.
     pub source: std::io::Error,
 }
 
-/// Stand-ins that one process serves.
+/// Stand-ins that this process serves.
 #[derive(Default)]
 pub struct StandinServices {
     /// Platform services.
@@ -42,13 +42,13 @@
     pub groups: RwLock<HashMap<String, Arc<DatabaseGroup>>>,
 }
 
-/// Parameters of a row or object request.
+/// Query parameters of a row, scan or object request.
 #[derive(Deserialize)]
 struct KeyQuery {
     key: String,
 }
 
-/// Member as shown by the interface.
+/// Status of a member as returned by the interface.
 #[derive(Serialize)]
 struct MemberView {
     name: String,
@@ -60,7 +60,7 @@
 
 type ServicesState = State<Arc<StandinServices>>;
 
-/// Serves the interface on `listener` until the task ends.
+/// Serves the HTTP interface on `listener` until it fails or is cancelled.
 pub async fn serve(
     listener: TcpListener,
     services: Arc<StandinServices>,
@@ -91,10 +91,10 @@
     fn into_response(self) -> Response {
         match self {
             Self::Unavailable => {
-                (StatusCode::SERVICE_UNAVAILABLE, "the service is down").into_response()
+                (StatusCode::SERVICE_UNAVAILABLE, "the service is unavailable").into_response()
             }
             Self::ResponseLost => {
-                (StatusCode::GATEWAY_TIMEOUT, "the answer is lost").into_response()
+                (StatusCode::GATEWAY_TIMEOUT, "the response was lost").into_response()
             }
         }
     }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,26 +1,26 @@
-//! Faults of a member, switched while it runs.
+//! Faults that are injected into a running database member.
 
 use serde::{Deserialize, Serialize};
 
-/// Faults in force on one member.
+/// Faults that are active on one member.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MemberFault {
-    /// Cuts the member off from the rest of its group; callers still reach it.
+    /// Partitions the member from the rest of its group; callers still reach it.
     pub cut: bool,
-    /// Refuses connections and drops the open ones, as after a crash.
+    /// Refuses new connections and drops the open ones, as after a crash.
     pub stopped: bool,
-    /// Keeps connections open and answers nothing, as a stopped process does.
+    /// Keeps connections open and sends no responses, as a suspended process does.
     pub paused: bool,
-    /// Extra time that every statement holds its slot, in milliseconds.
+    /// Extra time for which every statement occupies its slot, in milliseconds.
     pub slow_ms: u64,
-    /// Time by which applying the log lags behind receiving it, in milliseconds.
+    /// Delay between receiving and applying a log entry, in milliseconds.
     pub lag_ms: u64,
-    /// Number of commits whose answer is lost together with the connection.
+    /// Number of commits after which the connection is closed without a response.
     pub lose_answers: u32,
 }
 
-/// Change of a member's faults; absent fields stay as they are.
+/// Update of a member's faults; absent fields keep their value.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultChange {
@@ -36,12 +36,12 @@
     pub lag_ms: Option<u64>,
     /// Replaces `lose_answers`.
     pub lose_answers: Option<u32>,
-    /// Lets every connection open now go silent for good.
+    /// Makes every connection that is open now permanently unresponsive.
     pub silence: bool,
 }
 
 impl MemberFault {
-    /// Applies a change.
+    /// Replaces the values that `change` contains.
     pub fn change(&mut self, change: &FaultChange) {
         self.cut = change.cut.unwrap_or(self.cut);
         self.stopped = change.stopped.unwrap_or(self.stopped);
--- a/crates/standin/src/gateway_platform.rs
+++ b/crates/standin/src/gateway_platform.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for the users' platform: members that speak the line protocol, store, promotion.
+//! Stand-ins for the platform of `hibiscus-gateway`: databases that speak its line protocol, the
+//! row store and the promotion service.
 
 pub mod group;
 pub mod member;
--- a/crates/standin/src/gateway_platform/group.rs
+++ b/crates/standin/src/gateway_platform/group.rs
@@ -1,4 +1,4 @@
-//! State of a group of members: one log, terms, what each member has applied and run.
+//! Shared state of a replicated database: its log, its term, and what each member applied and ran.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -6,83 +6,83 @@
 
 use parking_lot::Mutex;
 
-/// Statement that a member ran.
+/// Statement that a member ran, even if it failed afterwards.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ExecutedStatement {
-    /// Identifier of the request.
+    /// Identifier of the statement, chosen by its sender.
     pub id: String,
-    /// Text without the position before it.
+    /// Statement text without the required position.
     pub text: String,
     /// Team of the connection.
     pub team: String,
-    /// Connection.
+    /// Number of the connection, unique in the group.
     pub connection: u64,
-    /// A transaction was open on the connection.
+    /// Whether a transaction was open on the connection.
     pub in_transaction: bool,
 }
 
-/// Misbehaviour of a member.
+/// Faults that are injected into a member.
 #[derive(Clone, Debug, Default)]
 pub struct MemberFaults {
-    /// Applies nothing new.
+    /// Applies no new log entries.
     pub replication_stopped: bool,
-    /// Takes connections and answers nothing.
+    /// Accepts connections and statements but sends no responses to statements.
     pub unresponsive: bool,
-    /// Closes the connection in place of the answer to commits and single writes.
+    /// Closes the connection instead of responding to commits and to writes outside a transaction.
     pub loses_commit_responses: bool,
-    /// Fails reads though it is healthy.
+    /// Answers reads with an error while everything else works.
     pub fails_reads: bool,
-    /// Team whose statements take long, with the time that each takes.
+    /// Team whose statements are slow, with the duration of each statement.
     pub slow_team: Option<(String, Duration)>,
 }
 
-/// One member.
+/// State of one member.
 #[derive(Clone, Debug)]
 pub struct MemberState {
-    /// Identifier.
+    /// Identifier of the member.
     pub id: String,
-    /// Entries of the log that its reads show.
+    /// Number of log entries that are visible to its reads.
     pub applied: u64,
-    /// Misbehaviour.
+    /// Active faults.
     pub faults: MemberFaults,
-    /// Statements in the order in which they ran.
+    /// Statements in execution order.
     pub executed: Vec<ExecutedStatement>,
-    /// Open connections.
+    /// Numbers of the open connections.
     pub connections: HashSet<u64>,
-    /// Most connections that were open at a time.
+    /// Peak number of open connections.
     pub peak_connections: usize,
 }
 
-/// Entry of the log.
+/// Committed write in the log.
 #[derive(Clone, Debug)]
 struct LogEntry {
     item: String,
     data: String,
 }
 
-/// State that the members of a group share.
+/// State that all members of a group share.
 #[derive(Debug)]
 pub struct GroupState {
-    /// Name of the service.
+    /// Name of the service that the group provides.
     pub service: String,
-    /// Term of the leader.
+    /// Term of the current leader.
     pub term: u64,
-    /// Place of the leader among the members.
+    /// Index of the leader in `members`.
     pub leader: usize,
     /// Members.
     pub members: Vec<MemberState>,
-    /// Connections that each member takes.
+    /// Maximum number of connections to each member.
     pub max_connections: usize,
     log: Vec<LogEntry>,
     rolled_back: Vec<LogEntry>,
     next_connection: u64,
 }
 
-/// Group shared by its members' tasks and by tests.
+/// Group state shared by the tasks of its members and by tests.
 pub type SharedGroup = Arc<Mutex<GroupState>>;
 
 impl GroupState {
-    /// Creates a group whose first member leads.
+    /// Creates a group whose first member is the leader.
     pub fn new(service: &str, ids: &[&str]) -> SharedGroup {
         let member = |id: &&str| MemberState {
             id: (*id).to_owned(),
@@ -104,7 +104,9 @@
         }))
     }
 
-    /// Makes a member lead the next term with what it has applied.
+    /// Makes a member the leader of the next term and rolls back what it has not applied.
+    ///
+    /// Does nothing if the member is the leader already. Returns false if it does not exist.
     pub fn promote(&mut self, id: &str) -> bool {
         let Some(index) = self.members.iter().position(|member| member.id == id) else {
             return false;
@@ -122,12 +124,12 @@
         true
     }
 
-    /// Returns the position of a member's reads.
+    /// Returns the term and log index that a member's reads reflect.
     pub fn position(&self, member: usize) -> (u64, u64) {
         (self.term, self.members[member].applied)
     }
 
-    /// Opens a connection; none if the member takes no more.
+    /// Opens a connection and returns its number, or `None` if the member has too many already.
     pub fn connect(&mut self, member: usize) -> Option<u64> {
         let limit = self.max_connections;
         let state = &mut self.members[member];
@@ -141,7 +143,7 @@
         Some(connection)
     }
 
-    /// Commits writes and ships them to the members that do not lag.
+    /// Commits writes and applies them on every member whose replication is not stopped.
     pub fn commit(&mut self, writes: Vec<(String, String)>) {
         self.log.extend(writes.into_iter().map(|(item, data)| LogEntry { item, data }));
         let end = self.log.len() as u64;
@@ -153,31 +155,31 @@
         }
     }
 
-    /// Lets a member that no longer lags show the whole log.
+    /// Applies the whole log on a member unless its replication is stopped.
     pub fn catch_up(&mut self, member: usize) {
         if !self.members[member].faults.replication_stopped {
             self.members[member].applied = self.log.len() as u64;
         }
     }
 
-    /// Returns the data of all committed writes.
+    /// Returns the data of all committed writes that were not rolled back.
     pub fn committed(&self) -> impl Iterator<Item = &str> {
         self.log.iter().map(|entry| entry.data.as_str())
     }
 
-    /// Returns the data of committed writes that promotions rolled back.
+    /// Returns the data of the committed writes that promotions rolled back.
     pub fn rolled_back(&self) -> impl Iterator<Item = &str> {
         self.rolled_back.iter().map(|entry| entry.data.as_str())
     }
 
-    /// Reads an item as a member shows it.
+    /// Returns the latest value of an item that is visible on a member.
     pub fn read(&self, member: usize, item: &str) -> Option<String> {
         let visible = self.members[member].applied as usize;
         let found = self.log[..visible].iter().rev().find(|entry| entry.item == item);
         found.map(|entry| entry.data.clone())
     }
 
-    /// Returns how often each request ran a committed or single write, over all members.
+    /// Returns how many times a `WRITE` or `COMMIT` ran on any member, by statement identifier.
     pub fn write_executions(&self) -> HashMap<String, usize> {
         let mut executions = HashMap::new();
         for statement in self.members.iter().flat_map(|member| &member.executed) {
--- a/crates/standin/src/gateway_platform/member.rs
+++ b/crates/standin/src/gateway_platform/member.rs
@@ -1,4 +1,4 @@
-//! Member that speaks the line protocol.
+//! Database member that speaks the gateway's line protocol.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 
 use super::group::{ExecutedStatement, SharedGroup};
 
-/// Time that a read, write or commit takes.
+/// Simulated duration of a read, write or commit.
 const STATEMENT_DURATION: Duration = Duration::from_millis(2);
 
-/// Serves a member of a group on a free loopback port.
+/// Serves a member of a group on a free loopback port and returns the address.
 pub async fn serve(group: SharedGroup, member: usize) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -24,20 +24,23 @@
     Ok(address)
 }
 
-/// State of one connection.
+/// State of one connection to a member.
 struct MemberConnection {
     group: SharedGroup,
     member: usize,
     connection_id: u64,
     team: String,
+    /// `I` outside a transaction, `T` in one, `E` after it failed.
     transaction_state: char,
     is_writable: bool,
+    /// Writes of the open transaction: item and data.
     writes: Vec<(String, String)>,
+    /// Whether each prepared statement is a write, by statement name.
     prepared: HashMap<String, bool>,
 }
 
 async fn serve_connection(group: SharedGroup, member: usize, stream: TcpStream) {
-    // Without the option answers only take longer.
+    // A failure only adds latency.
     let _ = stream.set_nodelay(true);
     let (reader, mut writer) = stream.into_split();
     let mut lines = BufReader::new(reader).lines();
@@ -57,7 +60,7 @@
     let connection_id = match connected {
         Ok(connection_id) => connection_id,
         Err(code) => {
-            // The caller learns the reason if it still listens.
+            // The client may have closed the connection already.
             let _ = writer.write_all(format!("ERROR {code} -\r\n").as_bytes()).await;
             return;
         }
@@ -93,7 +96,7 @@
         format!("READY {} {term}.{index}\r\n", self.transaction_state)
     }
 
-    /// Runs a line; none if the connection ends in place of an answer.
+    /// Executes a line and returns the response, or `None` if the connection is closed instead.
     async fn respond(&mut self, line: &str) -> Option<String> {
         let unresponsive = self.group.lock().members[self.member].faults.unresponsive;
         if unresponsive {
@@ -231,7 +234,7 @@
     }
 }
 
-/// Splits the position that the log must have reached from a text.
+/// Splits the position that the member must have applied from the statement text.
 fn split_required_position(text: &str) -> (Option<(u64, u64)>, &str) {
     let position = text.strip_prefix("AFTER ").and_then(|rest| {
         let (position, text) = rest.split_once(' ')?;
--- a/crates/standin/src/gateway_platform/row_store.rs
+++ b/crates/standin/src/gateway_platform/row_store.rs
@@ -1,4 +1,4 @@
-//! The platform's store and promotion service, with faults.
+//! The platform's row store and promotion service, with injectable faults.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
 
 use super::group::SharedGroup;
 
-/// Time that a promotion takes to come into force.
+/// Time between the acceptance of a promotion and the change of the leader.
 const PROMOTION_DURATION: Duration = Duration::from_millis(60);
 
-/// Row; without a value once it was removed.
+/// Stored row; its value is `None` once the row was deleted.
 #[derive(Clone, Debug)]
 struct StoredRow {
     table: String,
@@ -31,16 +31,16 @@
     version: u64,
 }
 
-/// Call for a promotion that was accepted.
+/// Promotion request that the service accepted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PromotionRequest {
-    /// Service.
+    /// Service whose leader changes.
     pub service: String,
-    /// Member to lead.
+    /// Member that becomes the leader.
     pub endpoint: String,
-    /// Instance on duty.
+    /// Instance that holds the promotion lease.
     pub holder: String,
-    /// Fencing token.
+    /// Fencing token of the promotion lease.
     pub token: u64,
 }
 
@@ -48,12 +48,13 @@
 struct StoreState {
     rows: Vec<StoredRow>,
     version: u64,
+    /// Lowest version from which a feed can continue.
     history_start: u64,
     unavailable: bool,
     promotions: Vec<PromotionRequest>,
 }
 
-/// Stand-in for the store and the promotion service.
+/// Stand-in for the row store and the promotion service; clones share their state.
 #[derive(Clone, Debug)]
 pub struct RowStore {
     state: Arc<Mutex<StoreState>>,
@@ -74,7 +75,7 @@
 }
 
 impl RowStore {
-    /// Serves the store on a free loopback port.
+    /// Serves the store and the promotion service on a free loopback port and returns the address.
     pub async fn serve(&self) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -88,18 +89,18 @@
         Ok(address)
     }
 
-    /// Lets the promotion service know a group.
+    /// Registers a group with the promotion service.
     pub fn register_group(&self, group: SharedGroup) {
         let service = group.lock().service.clone();
         self.groups.lock().insert(service, group);
     }
 
-    /// Writes a row as operator or member.
+    /// Writes a row as an operator or a database member would.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         self.put_bytes(table, key, Some(value.to_string().into_bytes()));
     }
 
-    /// Writes a row of any content, or removes it.
+    /// Writes a row with arbitrary content, or deletes it if `value` is `None`.
     pub fn put_bytes(&self, table: &str, key: &str, value: Option<Vec<u8>>) {
         let mut state = self.state.lock();
         state.version += 1;
@@ -110,19 +111,19 @@
         self.changed.notify_waiters();
     }
 
-    /// Refuses every call, or serves again.
+    /// Makes reads and transactions fail with status 503, or work again.
     pub fn set_unavailable(&self, unavailable: bool) {
         self.state.lock().unavailable = unavailable;
         self.changed.notify_waiters();
     }
 
-    /// Forgets the history of changes.
+    /// Discards the change history; feeds from an earlier version get status 410.
     pub fn compact_history(&self) {
         let mut state = self.state.lock();
         state.history_start = state.version;
     }
 
-    /// Returns the promotions that were accepted.
+    /// Returns the accepted promotion requests in order of arrival.
     pub fn promotions(&self) -> Vec<PromotionRequest> {
         self.state.lock().promotions.clone()
     }
@@ -188,7 +189,7 @@
         if !rows.is_empty() || remaining.is_zero() {
             return Json(store.rows_response(rows)).into_response();
         }
-        // Running into the limit is an answer without rows.
+        // When the wait times out, the response has no rows.
         let _ = tokio::time::timeout(remaining, changed).await;
     }
 }
--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -1,4 +1,4 @@
-//! Database group: members, log shipping between them, and their listeners.
+//! Database group: its members, log replication between them, and their listeners.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,27 +14,27 @@
 use crate::member::{BatchAnswer, GroupMember, MemberError};
 use crate::session;
 
-/// Longest time between two batches to a replica.
+/// Maximum time between two batches to a replica.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// Entries sent in one batch.
+/// Maximum number of log entries in a batch.
 const MAX_BATCH_ENTRIES: usize = 256;
-/// Time after which a blocked link or apply step is tried again.
+/// Delay before a batch that the replica did not accept, or a busy apply step, is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(2);
-/// Interval at which a cut link is looked at.
+/// Interval at which replication checks whether two disconnected members can connect again.
 const LINK_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Term under which a new group starts.
+/// Term of the first primary of a new group.
 const INITIAL_TERM: u64 = 1;
 
 /// Errors of starting a group.
 #[derive(Debug, Snafu)]
 pub enum GroupError {
-    /// A member's engine could not be created.
+    /// A member's SQLite database could not be created.
     #[snafu(display("{source}"), context(false))]
     Sqlite {
-        /// Cause reported by the engine.
+        /// Cause reported by SQLite.
         source: EngineError,
     },
-    /// The first promotion failed.
+    /// The initial promotion failed.
     #[snafu(display("{source}"), context(false))]
     Promotion {
         /// Cause reported by the member.
@@ -43,9 +43,9 @@
     /// A listener could not be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address that was tried.
+        /// Address of the listener.
         address: SocketAddr,
-        /// Cause reported by the system.
+        /// Cause reported by the operating system.
         source: std::io::Error,
     },
 }
@@ -58,7 +58,7 @@
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
 }
 
@@ -68,17 +68,17 @@
 pub struct GroupSettings {
     /// Name of the database.
     pub name: String,
-    /// Members, the first of which is the first primary.
+    /// Members; the first one is the initial primary.
     pub members: Vec<MemberSettings>,
-    /// Statements that a member runs at once.
+    /// Number of statements that a member runs concurrently.
     pub slots: usize,
-    /// Connections that a member accepts.
+    /// Maximum number of connections to a member.
     pub connections: u32,
-    /// Time that opening a connection takes, in milliseconds.
+    /// Simulated time to open a connection, in milliseconds.
     pub connect_ms: u64,
-    /// One-way delay between availability zones, in microseconds.
+    /// Simulated one-way delay between availability zones, in microseconds.
     pub zone_delay_us: u64,
-    /// Time that a statement takes besides the engine's own, in microseconds.
+    /// Simulated time of a statement in addition to SQLite's own, in microseconds.
     pub statement_us: u64,
 }
 
@@ -96,14 +96,14 @@
     }
 }
 
-/// Running group.
+/// Running database group; dropping it aborts its tasks.
 #[derive(Debug)]
 pub struct DatabaseGroup {
-    /// Settings the group was started with.
+    /// Settings with which the group was started.
     pub settings: GroupSettings,
     /// Members in the order of the settings.
     pub members: Vec<Arc<GroupMember>>,
-    /// Addresses on which the members listen.
+    /// Listen addresses of the members, in the order of the settings.
     pub addresses: Vec<SocketAddr>,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -115,7 +115,7 @@
 }
 
 impl DatabaseGroup {
-    /// Starts the members, promotes the first one and lets the others follow it.
+    /// Starts the members, promotes the first one and makes the others its replicas.
     pub async fn start(settings: GroupSettings) -> Result<Self, GroupError> {
         let mut members = Vec::new();
         for (index, member) in settings.members.iter().enumerate() {
@@ -162,7 +162,7 @@
     Ok(())
 }
 
-/// Sends the log of `from` to `to` for as long as `from` is a primary.
+/// Replicates the log of `from` to `to` whenever `from` is the primary.
 async fn replicate(from: Arc<GroupMember>, to: Arc<GroupMember>, settings: Arc<GroupSettings>) {
     let delay = zone_delay(&settings, &from.zone, &to.zone);
     let mut changes = from.changed.subscribe();
@@ -172,7 +172,7 @@
         let sent_at = Instant::now();
         let batch = from.core.lock().batch_after(match_index, MAX_BATCH_ENTRIES);
         if batch.is_some() && !is_connected(&from, &to) {
-            // Nothing gets through, and waiting for a change would not end with the cut.
+            // The end of a fault on `to` does not notify `from`, so this has to poll.
             sleep(LINK_POLL_INTERVAL).await;
             continue;
         }
@@ -192,13 +192,13 @@
                 }
                 Ok(_) => sleep(RETRY_DELAY).await,
                 Err(error) => {
-                    log::error!("member {} cannot take a batch: {error}", to.name);
+                    log::error!("member {} failed to append a batch: {error}", to.name);
                     sleep(HEARTBEAT_INTERVAL).await;
                 }
             }
         }
-        // Acknowledgements wake the task as well; only a new entry or a barrier is worth a batch
-        // before the next heartbeat.
+        // Acknowledgements notify this task, too. Only a new entry or a leadership confirmation
+        // request is a reason to send a batch before the next heartbeat.
         let heartbeat_at = Instant::now() + HEARTBEAT_INTERVAL;
         while !is_batch_due(&from, match_index, sent_at) {
             match timeout_at(heartbeat_at, changes.changed()).await {
@@ -226,7 +226,7 @@
     !isolated(from) && !isolated(to)
 }
 
-/// Applies received entries when their lag is over.
+/// Applies received log entries once their injected delay has passed.
 async fn apply_log(member: Arc<GroupMember>) {
     let mut changes = member.changed.subscribe();
     loop {
@@ -244,7 +244,7 @@
             }
             Err(MemberError::Engine { source: EngineError::Busy }) => sleep(RETRY_DELAY).await,
             Err(error) => {
-                log::error!("member {} cannot apply its log: {error}", member.name);
+                log::error!("member {} failed to apply its log: {error}", member.name);
                 sleep(HEARTBEAT_INTERVAL).await;
             }
         }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the outside systems: database groups and the platform's services.
+//! Stand-ins for the outside systems: replicated databases and the platform's services.
 //!
-//! They serve tests, measurements and the first try. Faults are switched over HTTP while they run.
+//! Tests, benchmarks and local trials use them. Faults can be injected at run time over HTTP.
 
 pub mod control;
 pub mod engine;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `hibiscus-standin`: stand-ins for the platform and for database groups.
+//! Program `hibiscus-standin`: serves the stand-ins for the platform and for database groups.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,21 +17,21 @@
 
 const PROGRAM: &str = "hibiscus-standin";
 
-/// Stand-ins for the platform's services and for database groups, for tests and first tries.
+/// Stand-ins for the platform's services and for database groups, for tests and local trials.
 #[derive(Debug, Parser)]
 #[command(name = PROGRAM, version)]
 struct StandinArguments {
-    /// Address of the platform's services and of the fault switches.
+    /// Address on which the platform's services and the fault control API listen.
     #[arg(long, env = "HIBISCUS_STANDIN_LISTEN", default_value = "127.0.0.1:7000")]
     listen: SocketAddr,
-    /// TOML file that describes groups and listed instances.
+    /// TOML file with the database groups and the initial instance list.
     #[arg(long, env = "HIBISCUS_STANDIN_FILE")]
     file: PathBuf,
     #[command(flatten)]
     logging: LoggingSettings,
 }
 
-/// Contents of the file.
+/// Contents of the TOML file.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct StandinFile {
@@ -41,7 +41,7 @@
     instances: Vec<InstanceRecord>,
 }
 
-/// Errors that end the program.
+/// Errors that terminate the program.
 #[derive(Debug, Snafu)]
 enum StandinError {
     #[snafu(display("cannot read {}: {source}", path.display()))]
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! Platform services: transactional table, object store and instance list, with faults.
+//! Platform services: transactional table, object store and instance list, with injectable faults.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,33 +8,33 @@
 use tokio::time::{Instant, sleep};
 use wire::platform::{InstanceRecord, TableRow, TableTransaction, TransactionReply};
 
-/// Versions of the instance list kept for lagging answers.
+/// Maximum number of versions of the instance list that are retained for stale reads.
 const MAX_LIST_VERSIONS: usize = 256;
 
 /// Faults of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFault {
-    /// Refuses every operation of the table and the object store.
+    /// Fails every operation on the table and the object store.
     pub down: bool,
     /// Delays every operation, in milliseconds.
     pub slow_ms: u64,
-    /// Number of writes that take effect and whose answer is lost.
+    /// Number of writes that take effect but whose response is lost.
     pub lose_answers: u32,
-    /// Age of the instance list that is answered, in milliseconds.
+    /// Age of the instance list that is returned, in milliseconds.
     pub list_lag_ms: u64,
 }
 
-/// Reason why an operation has no answer.
+/// Reason why an operation has no response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlatformError {
-    /// The service is down; nothing took effect.
+    /// The service is unavailable; nothing took effect.
     Unavailable,
-    /// The operation took effect and its answer was lost.
+    /// The operation took effect, but its response was lost.
     ResponseLost,
 }
 
-/// Operations counted since the start.
+/// Number of operations since the start.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct OperationCounts {
     /// Transactions and object writes.
@@ -61,7 +61,7 @@
 }
 
 impl PlatformService {
-    /// Runs a transaction on the table.
+    /// Checks the expected revisions and applies the writes atomically.
     pub async fn transact(
         &self,
         transaction: TableTransaction,
@@ -102,7 +102,7 @@
         Ok(self.state.lock().objects.get(name).cloned())
     }
 
-    /// Returns the instance list as it was `list_lag_ms` ago.
+    /// Returns the instance list as it was `list_lag_ms` ago; empty if no version is that old.
     pub fn instances(&self) -> Vec<InstanceRecord> {
         let state = self.state.lock();
         let lag = Duration::from_millis(state.fault.list_lag_ms);
@@ -126,17 +126,17 @@
         state.record_list_version();
     }
 
-    /// Replaces the faults in force.
+    /// Replaces the active faults.
     pub fn set_fault(&self, fault: PlatformFault) {
         self.state.lock().fault = fault;
     }
 
-    /// Returns the faults in force.
+    /// Returns the active faults.
     pub fn fault(&self) -> PlatformFault {
         self.state.lock().fault.clone()
     }
 
-    /// Returns the operations counted so far.
+    /// Returns the number of operations since the start.
     pub fn counts(&self) -> OperationCounts {
         self.state.lock().counts
     }
