--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Seeded series of faults that overlap.
+//! Schedule of overlapping faults, generated from a seed.
 
 use std::time::Duration;
 
@@ -7,89 +7,98 @@
 
 use crate::relay::RelayMode;
 
-/// Trouble, and what it befalls.
+/// Fault, with the index of the instance or member that it affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultAction {
-    /// The process is stopped and goes on later.
-    Pause(usize),
-    /// The process is killed and starts again.
-    Kill(usize),
-    /// The process is told to stop, ends and starts again.
-    Terminate(usize),
-    /// The way to a member changes.
-    MemberWay(usize, RelayMode),
-    /// Connections to a member are reset.
-    MemberReset(usize),
-    /// Open connections to a member go silent for good.
-    MemberSilence(usize),
-    /// The way of an instance to the store changes.
-    StoreWay(usize, RelayMode),
-    /// Open connections of an instance to the store go silent for good.
-    StoreSilence(usize),
-    /// The store refuses every call.
-    StoreDown,
-    /// The store forgets its history.
-    StoreCompact,
-    /// A member answers nothing.
-    MemberDark(usize),
-    /// A member applies nothing.
-    MemberLags(usize),
-    /// A member closes the connection in place of answers to commits.
-    MemberLoses(usize),
-    /// A member fails reads.
-    MemberGrey(usize),
-    /// A document with a new version comes.
-    Document,
+    /// Suspends the process and resumes it later.
+    PauseInstance(usize),
+    /// Kills the process and starts it again.
+    KillInstance(usize),
+    /// Shuts the process down gracefully and starts it again.
+    TerminateInstance(usize),
+    /// Changes the mode of the relay in front of a member.
+    SetMemberRelay(usize, RelayMode),
+    /// Closes all connections to a member.
+    ResetMemberConnections(usize),
+    /// Drops all further bytes on the open connections to a member.
+    BlackholeMemberConnections(usize),
+    /// Changes the mode of the relay between an instance and the row store.
+    SetStoreRelay(usize, RelayMode),
+    /// Drops all further bytes on the open connections of an instance to the row store.
+    BlackholeStoreConnections(usize),
+    /// Makes the row store fail its requests.
+    MakeStoreUnavailable,
+    /// Discards the change history of the row store.
+    CompactStoreHistory,
+    /// Makes a member accept statements without responding.
+    MakeMemberUnresponsive(usize),
+    /// Makes a member apply no log entries.
+    StopMemberReplication(usize),
+    /// Makes a member close the connection instead of responding to commits.
+    LoseCommitResponses(usize),
+    /// Makes a member fail reads.
+    FailMemberReads(usize),
+    /// Publishes a document with a new version.
+    PublishDocument,
 }
 
-/// Fault with its time.
+/// Fault with its start time and duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlannedFault {
+pub struct ScheduledFault {
     /// Time from the start of the run.
-    pub at: Duration,
-    /// How long it lasts.
-    pub length: Duration,
-    /// What happens.
+    pub starts_at: Duration,
+    /// Time until the fault ends; instantaneous faults ignore it.
+    pub duration: Duration,
+    /// Fault to inject.
     pub action: FaultAction,
 }
 
-/// Returns the faults of a seed in the order of their times.
-pub fn plan(seed: u64, time: Duration, instances: usize, members: usize) -> Vec<PlannedFault> {
-    let mut random = StdRng::seed_from_u64(seed);
+/// Returns the faults for a seed in the order of their start times, all before `fault_period`.
+pub fn schedule_faults(
+    seed: u64,
+    fault_period: Duration,
+    instances: usize,
+    members: usize,
+) -> Vec<ScheduledFault> {
+    let mut rng = StdRng::seed_from_u64(seed);
     let mut faults = Vec::new();
-    let mut at = Duration::from_millis(500);
-    while at < time {
-        let instance = random.random_range(0..instances);
-        let member = random.random_range(0..members);
-        let delay = Duration::from_millis(random.random_range(20..250));
-        let modes =
-            [RelayMode::Delay(delay), RelayMode::CutForth, RelayMode::CutBack, RelayMode::Dark];
-        let mode = modes[random.random_range(0..modes.len())];
-        let action = match random.random_range(0..15) {
-            0 => FaultAction::Pause(instance),
-            1 => FaultAction::Kill(instance),
-            2 => FaultAction::Terminate(instance),
-            3 | 4 => FaultAction::MemberWay(member, mode),
-            5 => FaultAction::MemberReset(member),
-            6 => FaultAction::MemberSilence(member),
-            7 => FaultAction::StoreWay(instance, mode),
-            8 => FaultAction::StoreSilence(instance),
-            9 => FaultAction::StoreDown,
-            10 => FaultAction::StoreCompact,
-            11 => FaultAction::MemberDark(member),
-            12 => FaultAction::MemberLags(member),
-            13 => FaultAction::MemberLoses(member),
+    let mut starts_at = Duration::from_millis(500);
+    while starts_at < fault_period {
+        let instance = rng.random_range(0..instances);
+        let member = rng.random_range(0..members);
+        let delay = Duration::from_millis(rng.random_range(20..250));
+        let modes = [
+            RelayMode::Delay(delay),
+            RelayMode::DropToTarget,
+            RelayMode::DropFromTarget,
+            RelayMode::DropAll,
+        ];
+        let mode = modes[rng.random_range(0..modes.len())];
+        let action = match rng.random_range(0..15) {
+            0 => FaultAction::PauseInstance(instance),
+            1 => FaultAction::KillInstance(instance),
+            2 => FaultAction::TerminateInstance(instance),
+            3 | 4 => FaultAction::SetMemberRelay(member, mode),
+            5 => FaultAction::ResetMemberConnections(member),
+            6 => FaultAction::BlackholeMemberConnections(member),
+            7 => FaultAction::SetStoreRelay(instance, mode),
+            8 => FaultAction::BlackholeStoreConnections(instance),
+            9 => FaultAction::MakeStoreUnavailable,
+            10 => FaultAction::CompactStoreHistory,
+            11 => FaultAction::MakeMemberUnresponsive(member),
+            12 => FaultAction::StopMemberReplication(member),
+            13 => FaultAction::LoseCommitResponses(member),
             _ => {
-                if random.random_bool(0.5) {
-                    FaultAction::MemberGrey(member)
+                if rng.random_bool(0.5) {
+                    FaultAction::FailMemberReads(member)
                 } else {
-                    FaultAction::Document
+                    FaultAction::PublishDocument
                 }
             }
         };
-        let length = Duration::from_millis(random.random_range(200..3_000));
-        faults.push(PlannedFault { at, length, action });
-        at += Duration::from_millis(random.random_range(50..1_200));
+        let duration = Duration::from_millis(rng.random_range(200..3_000));
+        faults.push(ScheduledFault { starts_at, duration, action });
+        starts_at += Duration::from_millis(rng.random_range(50..1_200));
     }
     faults
 }
--- a/crates/soak/src/instance.rs
+++ b/crates/soak/src/instance.rs
@@ -1,4 +1,4 @@
-//! Instance under test: a process of its own that gets signals.
+//! Process of an instance under test.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -7,23 +7,23 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::process::{Child, Command};
 
-/// Where an instance finds the platform, and its own place.
+/// Configuration of an instance: its addresses and its availability zone.
 #[derive(Clone, Debug)]
-pub struct InstancePlace {
-    /// Number from one, the last part of its address.
+pub struct InstanceConfig {
+    /// Number of the instance, from one; the last octet of its IP address.
     pub number: u8,
-    /// First three parts of its address; runs side by side have different ones.
+    /// First three octets of its IP address; concurrent runs use different ones.
     pub network: [u8; 3],
     /// Availability zone.
     pub zone: String,
-    /// Store as this instance reaches it.
+    /// Address at which this instance reaches the platform's services.
     pub store: SocketAddr,
-    /// Ports for callers, readiness and other instances.
+    /// First of three consecutive ports: callers, readiness and other instances.
     pub base_port: u16,
 }
 
-impl InstancePlace {
-    /// Returns the address for callers.
+impl InstanceConfig {
+    /// Returns the address on which the instance serves callers.
     pub fn caller_address(&self) -> SocketAddr {
         SocketAddr::from((self.ip(), self.base_port))
     }
@@ -33,7 +33,7 @@
         [first, second, third, self.number]
     }
 
-    fn settings(&self, first_start: bool) -> String {
+    fn settings_text(&self, first_start: bool) -> String {
         let ip = std::net::Ipv4Addr::from(self.ip());
         let (callers, ready, peers) = (self.base_port, self.base_port + 1, self.base_port + 2);
         format!(
@@ -52,26 +52,26 @@
 /// Process of an instance.
 #[derive(Debug)]
 pub struct InstanceProcess {
-    /// Its place.
-    pub place: InstancePlace,
+    /// Configuration of the instance.
+    pub config: InstanceConfig,
     program: PathBuf,
     folder: PathBuf,
     child: Option<Child>,
-    starts: u32,
+    start_count: u32,
 }
 
 impl InstanceProcess {
-    /// Describes an instance; its log and settings go to `folder`.
-    pub fn new(place: InstancePlace, program: &Path, folder: &Path) -> Self {
+    /// Creates a stopped instance; its log and settings file are written to `folder`.
+    pub fn new(config: InstanceConfig, program: &Path, folder: &Path) -> Self {
         let (program, folder) = (program.to_owned(), folder.to_owned());
-        Self { place, program, folder, child: None, starts: 0 }
+        Self { config, program, folder, child: None, start_count: 0 }
     }
 
     /// Starts the process.
     pub fn start(&mut self) -> std::io::Result<()> {
-        let name = format!("instance-{}", self.place.number);
+        let name = format!("instance-{}", self.config.number);
         let settings = self.folder.join(format!("{name}.conf"));
-        std::fs::write(&settings, self.place.settings(self.starts == 0))?;
+        std::fs::write(&settings, self.config.settings_text(self.start_count == 0))?;
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
@@ -87,12 +87,12 @@
             .kill_on_drop(true)
             .spawn()?;
         self.child = Some(child);
-        self.starts += 1;
+        self.start_count += 1;
         Ok(())
     }
 
-    /// Sends a signal to this process and no other.
-    pub fn signal(&self, signal: Signal) -> std::io::Result<()> {
+    /// Sends a signal to the process; does nothing if it is not running.
+    pub fn send_signal(&self, signal: Signal) -> std::io::Result<()> {
         let id = self.child.as_ref().and_then(Child::id);
         let id = id.and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
         match id {
@@ -101,16 +101,16 @@
         }
     }
 
-    /// Waits for the end of the process.
-    pub async fn ended(&mut self) {
+    /// Waits until the process has exited.
+    pub async fn wait_for_exit(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // The status of a process that got a signal says nothing of interest.
+            // The exit status of a process that was sent a signal is irrelevant.
             let _ = child.wait().await;
         }
     }
 
-    /// Tells whether the process ended without having been told to.
-    pub fn has_failed(&mut self) -> bool {
+    /// Returns whether the process has exited without being stopped by the run.
+    pub fn has_exited_unexpectedly(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! Randomized soak: real instances as processes, faults from outside, promises checked meanwhile.
+//! Randomized soak test: runs real instance processes under injected faults and checks invariants.
 
 pub mod caller;
 pub mod fault;
 pub mod instance;
+pub mod invariants;
 pub mod relay;
 pub mod run;
-pub mod verdict;
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -1,4 +1,4 @@
-//! Loopback relay that delays, resets, cuts or silences the connections through it.
+//! TCP relay on loopback that delays, drops or resets the traffic of its connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,46 +11,46 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Bytes passed on at once.
+/// Maximum number of bytes forwarded at once.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Direction of bytes.
+/// Direction of traffic through the relay.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum ByteDirection {
-    Forth,
-    Back,
+enum RelayDirection {
+    ToTarget,
+    FromTarget,
 }
 
-/// What happens to bytes.
+/// Treatment of the traffic through a relay.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RelayMode {
-    /// They pass.
-    Pass,
-    /// They pass late.
+    /// Forwards all bytes.
+    Forward,
+    /// Forwards each chunk after a delay.
     Delay(Duration),
-    /// Those towards the target are swallowed.
-    CutForth,
-    /// Those from the target are swallowed.
-    CutBack,
-    /// All are swallowed, on new connections too.
-    Dark,
+    /// Drops the bytes sent to the target.
+    DropToTarget,
+    /// Drops the bytes sent by the target.
+    DropFromTarget,
+    /// Drops all bytes, on new connections too.
+    DropAll,
 }
 
 #[derive(Debug)]
 struct RelayState {
     mode: watch::Sender<RelayMode>,
-    /// Connections up to this number are silent for good.
-    silenced: AtomicU64,
-    /// Raised to end all open connections.
+    /// Connections up to this number are blackholed: all their bytes are dropped.
+    last_blackholed: AtomicU64,
+    /// Incremented to close all open connections.
     resets: watch::Sender<u32>,
-    opened: AtomicU64,
+    opened_count: AtomicU64,
     reset_count: AtomicU32,
 }
 
 /// Relay in front of one target.
 #[derive(Clone, Debug)]
 pub struct FaultRelay {
-    /// Address that callers of the target use.
+    /// Listen address of the relay, to be used in place of the target's address.
     pub address: SocketAddr,
     state: Arc<RelayState>,
 }
@@ -61,61 +61,65 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let state = Arc::new(RelayState {
-            mode: watch::channel(RelayMode::Pass).0,
-            silenced: AtomicU64::new(0),
+            mode: watch::channel(RelayMode::Forward).0,
+            last_blackholed: AtomicU64::new(0),
             resets: watch::channel(0).0,
-            opened: AtomicU64::new(0),
+            opened_count: AtomicU64::new(0),
             reset_count: AtomicU32::new(0),
         });
         let shared = state.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serve(shared.clone(), stream, target));
+                tokio::spawn(relay_connection(shared.clone(), stream, target));
             }
         });
         Ok(Self { address, state })
     }
 
-    /// Changes what happens to bytes.
+    /// Changes the mode for open and new connections.
     pub fn set_mode(&self, mode: RelayMode) {
         self.state.mode.send_replace(mode);
     }
 
-    /// Ends all open connections.
-    pub fn reset(&self) {
+    /// Closes all open connections.
+    pub fn reset_open_connections(&self) {
         let count = self.state.reset_count.fetch_add(1, Ordering::Relaxed) + 1;
         self.state.resets.send_replace(count);
     }
 
-    /// Silences all open connections for good; new ones work.
-    pub fn silence(&self) {
-        let opened = self.state.opened.load(Ordering::Relaxed);
-        self.state.silenced.store(opened, Ordering::Relaxed);
+    /// Drops all further bytes on the open connections; new connections are not affected.
+    pub fn blackhole_open_connections(&self) {
+        let opened_count = self.state.opened_count.load(Ordering::Relaxed);
+        self.state.last_blackholed.store(opened_count, Ordering::Relaxed);
     }
 }
 
-async fn serve(state: Arc<RelayState>, near: TcpStream, target: SocketAddr) {
-    let number = state.opened.fetch_add(1, Ordering::Relaxed) + 1;
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn relay_connection(state: Arc<RelayState>, client: TcpStream, target: SocketAddr) {
+    let connection = state.opened_count.fetch_add(1, Ordering::Relaxed) + 1;
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    // Without the option bytes only come later.
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_reader, near_writer) = near.into_split();
-    let (far_reader, far_writer) = far.into_split();
+    // A failure only adds latency.
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let (client_reader, client_writer) = client.into_split();
+    let (server_reader, server_writer) = server.into_split();
     let mut resets = state.resets.subscribe();
     resets.mark_unchanged();
     tokio::select! {
-        () = pump(&state, number, ByteDirection::Forth, near_reader, far_writer) => {}
-        () = pump(&state, number, ByteDirection::Back, far_reader, near_writer) => {}
+        () = forward(
+            &state, connection, RelayDirection::ToTarget, client_reader, server_writer
+        ) => {}
+        () = forward(
+            &state, connection, RelayDirection::FromTarget, server_reader, client_writer
+        ) => {}
         _ = resets.changed() => {}
     }
 }
 
-async fn pump(
+async fn forward(
     state: &RelayState,
-    number: u64,
-    direction: ByteDirection,
+    connection: u64,
+    direction: RelayDirection,
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
 ) {
@@ -123,23 +127,23 @@
     loop {
         let read = reader.read(&mut chunk).await;
         let mode = *state.mode.borrow();
-        let swallowed = number <= state.silenced.load(Ordering::Relaxed)
+        let is_dropped = connection <= state.last_blackholed.load(Ordering::Relaxed)
             || match mode {
-                RelayMode::Pass | RelayMode::Delay(_) => false,
-                RelayMode::CutForth => direction == ByteDirection::Forth,
-                RelayMode::CutBack => direction == ByteDirection::Back,
-                RelayMode::Dark => true,
+                RelayMode::Forward | RelayMode::Delay(_) => false,
+                RelayMode::DropToTarget => direction == RelayDirection::ToTarget,
+                RelayMode::DropFromTarget => direction == RelayDirection::FromTarget,
+                RelayMode::DropAll => true,
             };
         let read = match read {
-            // A cut hides the end of a connection, too.
-            Ok(0) | Err(_) if swallowed => std::future::pending().await,
+            // A peer behind a partition does not see the connection close either.
+            Ok(0) | Err(_) if is_dropped => std::future::pending().await,
             Ok(0) | Err(_) => return,
             Ok(read) => read,
         };
         if let RelayMode::Delay(delay) = mode {
             sleep(delay).await;
         }
-        if !swallowed && writer.write_all(&chunk[..read]).await.is_err() {
+        if !is_dropped && writer.write_all(&chunk[..read]).await.is_err() {
             return;
         }
     }
--- /dev/null
+++ b/crates/standin/src/gateway_platform/group.rs
@@ -0,0 +1,192 @@
+//! Shared state of a replicated database: its log, its term, and what each member applied and ran.
+
+use std::collections::{HashMap, HashSet};
+use std::sync::Arc;
+use std::time::Duration;
+
+use parking_lot::Mutex;
+
+/// Statement that a member ran, even if it failed afterwards.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub struct ExecutedStatement {
+    /// Identifier of the statement, chosen by its sender.
+    pub id: String,
+    /// Statement text without the required position.
+    pub text: String,
+    /// Team of the connection.
+    pub team: String,
+    /// Number of the connection, unique in the group.
+    pub connection: u64,
+    /// Whether a transaction was open on the connection.
+    pub in_transaction: bool,
+}
+
+/// Faults that are injected into a member.
+#[derive(Clone, Debug, Default)]
+pub struct MemberFaults {
+    /// Applies no new log entries.
+    pub replication_stopped: bool,
+    /// Accepts connections and statements but sends no responses to statements.
+    pub unresponsive: bool,
+    /// Closes the connection instead of responding to commits and to writes outside a transaction.
+    pub loses_commit_responses: bool,
+    /// Answers reads with an error while everything else works.
+    pub fails_reads: bool,
+    /// Team whose statements are slow, with the duration of each statement.
+    pub slow_team: Option<(String, Duration)>,
+}
+
+/// State of one member.
+#[derive(Clone, Debug)]
+pub struct MemberState {
+    /// Identifier of the member.
+    pub id: String,
+    /// Number of log entries that are visible to its reads.
+    pub applied: u64,
+    /// Active faults.
+    pub faults: MemberFaults,
+    /// Statements in execution order.
+    pub executed: Vec<ExecutedStatement>,
+    /// Numbers of the open connections.
+    pub connections: HashSet<u64>,
+    /// Peak number of open connections.
+    pub peak_connections: usize,
+}
+
+/// Committed write in the log.
+#[derive(Clone, Debug)]
+struct LogEntry {
+    item: String,
+    data: String,
+}
+
+/// State that all members of a group share.
+#[derive(Debug)]
+pub struct GroupState {
+    /// Name of the service that the group provides.
+    pub service: String,
+    /// Term of the current leader.
+    pub term: u64,
+    /// Index of the leader in `members`.
+    pub leader: usize,
+    /// Members.
+    pub members: Vec<MemberState>,
+    /// Maximum number of connections to each member.
+    pub max_connections: usize,
+    log: Vec<LogEntry>,
+    rolled_back: Vec<LogEntry>,
+    next_connection: u64,
+}
+
+/// Group state shared by the tasks of its members and by tests.
+pub type SharedGroup = Arc<Mutex<GroupState>>;
+
+impl GroupState {
+    /// Creates a group whose first member is the leader.
+    pub fn new(service: &str, ids: &[&str]) -> SharedGroup {
+        let member = |id: &&str| MemberState {
+            id: (*id).to_owned(),
+            applied: 0,
+            faults: MemberFaults::default(),
+            executed: Vec::new(),
+            connections: HashSet::new(),
+            peak_connections: 0,
+        };
+        Arc::new(Mutex::new(Self {
+            service: service.to_owned(),
+            term: 1,
+            leader: 0,
+            members: ids.iter().map(member).collect(),
+            max_connections: 20,
+            log: Vec::new(),
+            rolled_back: Vec::new(),
+            next_connection: 1,
+        }))
+    }
+
+    /// Makes a member the leader of the next term and rolls back what it has not applied.
+    ///
+    /// Does nothing if the member is the leader already. Returns false if it does not exist.
+    pub fn promote(&mut self, id: &str) -> bool {
+        let Some(index) = self.members.iter().position(|member| member.id == id) else {
+            return false;
+        };
+        if index == self.leader {
+            return true;
+        }
+        self.leader = index;
+        self.term += 1;
+        let kept_entries = self.members[index].applied;
+        self.rolled_back.extend(self.log.split_off(kept_entries as usize));
+        for member in &mut self.members {
+            member.applied = member.applied.min(kept_entries);
+        }
+        true
+    }
+
+    /// Returns the term and log index that a member's reads reflect.
+    pub fn position(&self, member: usize) -> (u64, u64) {
+        (self.term, self.members[member].applied)
+    }
+
+    /// Opens a connection and returns its number, or `None` if the member has too many already.
+    pub fn connect(&mut self, member: usize) -> Option<u64> {
+        let limit = self.max_connections;
+        let state = &mut self.members[member];
+        if state.connections.len() >= limit {
+            return None;
+        }
+        let connection = self.next_connection;
+        self.next_connection += 1;
+        state.connections.insert(connection);
+        state.peak_connections = state.peak_connections.max(state.connections.len());
+        Some(connection)
+    }
+
+    /// Commits writes and applies them on every member whose replication is not stopped.
+    pub fn commit(&mut self, writes: Vec<(String, String)>) {
+        self.log.extend(writes.into_iter().map(|(item, data)| LogEntry { item, data }));
+        let end = self.log.len() as u64;
+        let leader = self.leader;
+        for (index, member) in self.members.iter_mut().enumerate() {
+            if index == leader || !member.faults.replication_stopped {
+                member.applied = end;
+            }
+        }
+    }
+
+    /// Applies the whole log on a member unless its replication is stopped.
+    pub fn catch_up(&mut self, member: usize) {
+        if !self.members[member].faults.replication_stopped {
+            self.members[member].applied = self.log.len() as u64;
+        }
+    }
+
+    /// Returns the data of all committed writes that were not rolled back.
+    pub fn committed(&self) -> impl Iterator<Item = &str> {
+        self.log.iter().map(|entry| entry.data.as_str())
+    }
+
+    /// Returns the data of the committed writes that promotions rolled back.
+    pub fn rolled_back(&self) -> impl Iterator<Item = &str> {
+        self.rolled_back.iter().map(|entry| entry.data.as_str())
+    }
+
+    /// Returns the latest value of an item that is visible on a member.
+    pub fn read(&self, member: usize, item: &str) -> Option<String> {
+        let visible = self.members[member].applied as usize;
+        let found = self.log[..visible].iter().rev().find(|entry| entry.item == item);
+        found.map(|entry| entry.data.clone())
+    }
+
+    /// Returns how many times a `WRITE` or `COMMIT` ran on any member, by statement identifier.
+    pub fn write_executions(&self) -> HashMap<String, usize> {
+        let mut executions = HashMap::new();
+        for statement in self.members.iter().flat_map(|member| &member.executed) {
+            if statement.text.starts_with("WRITE") || statement.text == "COMMIT" {
+                *executions.entry(statement.id.clone()).or_default() += 1;
+            }
+        }
+        executions
+    }
+}
--- a/crates/standin/src/fleet/store.rs
+++ b/crates/standin/src/gateway_platform/row_store.rs
@@ -1,4 +1,4 @@
-//! The platform's store and promotion service, with faults.
+//! The platform's row store and promotion service, with injectable faults.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,52 +17,53 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-use super::group::LineGroup;
+use super::group::SharedGroup;
 
-/// Time that a promotion takes to come into force.
-const PROMOTION_TIME: Duration = Duration::from_millis(60);
+/// Time between the acceptance of a promotion and the change of the leader.
+const PROMOTION_DURATION: Duration = Duration::from_millis(60);
 
-/// Row; without a value once it was removed.
+/// Stored row; its value is `None` once the row was deleted.
 #[derive(Clone, Debug)]
-struct KeptRow {
+struct StoredRow {
     table: String,
     key: String,
     value: Option<Vec<u8>>,
     version: u64,
 }
 
-/// Call for a promotion that was accepted.
+/// Promotion request that the service accepted.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PromotionCall {
-    /// Service.
+pub struct PromotionRequest {
+    /// Service whose leader changes.
     pub service: String,
-    /// Member to lead.
+    /// Member that becomes the leader.
     pub endpoint: String,
-    /// Instance on duty.
+    /// Instance that holds the promotion lease.
     pub holder: String,
-    /// Fencing token.
+    /// Fencing token of the promotion lease.
     pub token: u64,
 }
 
 #[derive(Debug, Default)]
 struct StoreState {
-    rows: Vec<KeptRow>,
+    rows: Vec<StoredRow>,
     version: u64,
+    /// Lowest version from which a feed can continue.
     history_start: u64,
-    down: bool,
-    promotions: Vec<PromotionCall>,
+    unavailable: bool,
+    promotions: Vec<PromotionRequest>,
 }
 
-/// Stand-in for the store and the promotion service.
+/// Stand-in for the row store and the promotion service; clones share their state.
 #[derive(Clone, Debug)]
-pub struct FleetStore {
+pub struct RowStore {
     state: Arc<Mutex<StoreState>>,
-    groups: Arc<Mutex<HashMap<String, LineGroup>>>,
+    groups: Arc<Mutex<HashMap<String, SharedGroup>>>,
     changed: Arc<Notify>,
     started_at: Instant,
 }
 
-impl Default for FleetStore {
+impl Default for RowStore {
     fn default() -> Self {
         Self {
             state: Arc::default(),
@@ -73,8 +74,8 @@
     }
 }
 
-impl FleetStore {
-    /// Serves the store on a free loopback port.
+impl RowStore {
+    /// Serves the store and the promotion service on a free loopback port and returns the address.
     pub async fn serve(&self) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -88,42 +89,42 @@
         Ok(address)
     }
 
-    /// Lets the promotion service know a group.
-    pub fn add_group(&self, group: LineGroup) {
+    /// Registers a group with the promotion service.
+    pub fn register_group(&self, group: SharedGroup) {
         let service = group.lock().service.clone();
         self.groups.lock().insert(service, group);
     }
 
-    /// Writes a row as operator or member.
+    /// Writes a row as an operator or a database member would.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         self.put_bytes(table, key, Some(value.to_string().into_bytes()));
     }
 
-    /// Writes a row of any content, or removes it.
+    /// Writes a row with arbitrary content, or deletes it if `value` is `None`.
     pub fn put_bytes(&self, table: &str, key: &str, value: Option<Vec<u8>>) {
         let mut state = self.state.lock();
         state.version += 1;
         let version = state.version;
         state.rows.retain(|row| row.table != table || row.key != key);
-        state.rows.push(KeptRow { table: table.to_owned(), key: key.to_owned(), value, version });
+        state.rows.push(StoredRow { table: table.to_owned(), key: key.to_owned(), value, version });
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// Refuses every call, or serves again.
-    pub fn set_down(&self, down: bool) {
-        self.state.lock().down = down;
+    /// Makes reads and transactions fail with status 503, or work again.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.state.lock().unavailable = unavailable;
         self.changed.notify_waiters();
     }
 
-    /// Forgets the history of changes.
-    pub fn compact(&self) {
+    /// Discards the change history; feeds from an earlier version get status 410.
+    pub fn compact_history(&self) {
         let mut state = self.state.lock();
         state.history_start = state.version;
     }
 
-    /// Returns the promotions that were accepted.
-    pub fn promotions(&self) -> Vec<PromotionCall> {
+    /// Returns the accepted promotion requests in order of arrival.
+    pub fn promotions(&self) -> Vec<PromotionRequest> {
         self.state.lock().promotions.clone()
     }
 
@@ -131,83 +132,83 @@
         u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn answer(&self, rows: Vec<Value>) -> Value {
+    fn rows_response(&self, rows: Vec<Value>) -> Value {
         let version = self.state.lock().version;
         json!({ "rows": rows, "has_more": false, "row_version": version, "now_ms": self.now_ms() })
     }
 }
 
-fn show(row: &KeptRow) -> Value {
-    let mut shown = json!({
+fn row_json(row: &StoredRow) -> Value {
+    let mut fields = json!({
         "table": row.table, "part": "", "key": row.key, "row_version": row.version,
     });
     match &row.value {
-        Some(value) => shown["value"] = STANDARD.encode(value).into(),
-        None => shown["tombstone"] = true.into(),
+        Some(value) => fields["value"] = STANDARD.encode(value).into(),
+        None => fields["tombstone"] = true.into(),
     }
-    shown
+    fields
 }
 
 type StoreQuery = Query<HashMap<String, String>>;
 
-fn number(query: &HashMap<String, String>, name: &str) -> u64 {
+fn query_number(query: &HashMap<String, String>, name: &str) -> u64 {
     query.get(name).and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
-async fn rows_get(State(store): State<FleetStore>, Query(query): StoreQuery) -> Response {
+async fn rows_get(State(store): State<RowStore>, Query(query): StoreQuery) -> Response {
     let rows: Vec<Value> = {
         let state = store.state.lock();
-        if state.down {
+        if state.unavailable {
             return StatusCode::SERVICE_UNAVAILABLE.into_response();
         }
         let table = query.get("table").cloned().unwrap_or_default();
-        let kept = |row: &&KeptRow| row.table == table && row.value.is_some();
-        state.rows.iter().filter(kept).map(show).collect()
+        let is_present = |row: &&StoredRow| row.table == table && row.value.is_some();
+        state.rows.iter().filter(is_present).map(row_json).collect()
     };
-    Json(store.answer(rows)).into_response()
+    Json(store.rows_response(rows)).into_response()
 }
 
-async fn rows_feed(State(store): State<FleetStore>, Query(query): StoreQuery) -> Response {
-    let (after, wait) = (number(&query, "after"), number(&query, "wait_ms"));
+async fn rows_feed(State(store): State<RowStore>, Query(query): StoreQuery) -> Response {
+    let (after, wait) = (query_number(&query, "after"), query_number(&query, "wait_ms"));
     let table = query.get("table").cloned().unwrap_or_default();
     let deadline = Instant::now() + Duration::from_millis(wait);
     loop {
         let changed = store.changed.notified();
         let rows: Vec<Value> = {
             let state = store.state.lock();
-            if state.down {
+            if state.unavailable {
                 return StatusCode::SERVICE_UNAVAILABLE.into_response();
             }
             if after < state.history_start {
                 return StatusCode::GONE.into_response();
             }
-            let news = |row: &&KeptRow| row.table == table && row.version > after;
-            state.rows.iter().filter(news).map(show).collect()
+            let is_newer = |row: &&StoredRow| row.table == table && row.version > after;
+            state.rows.iter().filter(is_newer).map(row_json).collect()
         };
-        let left = deadline.saturating_duration_since(Instant::now());
-        if !rows.is_empty() || left.is_zero() {
-            return Json(store.answer(rows)).into_response();
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if !rows.is_empty() || remaining.is_zero() {
+            return Json(store.rows_response(rows)).into_response();
         }
-        // Running into the limit is an answer without rows.
-        let _ = tokio::time::timeout(left, changed).await;
+        // When the wait times out, the response has no rows.
+        let _ = tokio::time::timeout(remaining, changed).await;
     }
 }
 
-async fn rows_tx(State(store): State<FleetStore>, Json(body): Json<Value>) -> Response {
+async fn rows_tx(State(store): State<RowStore>, Json(body): Json<Value>) -> Response {
     let text = |row: &Value, name: &str| row[name].as_str().unwrap_or_default().to_owned();
     let entries = |name: &str| body[name].as_array().cloned().unwrap_or_default();
     {
         let state = store.state.lock();
-        if state.down {
+        if state.unavailable {
             return StatusCode::SERVICE_UNAVAILABLE.into_response();
         }
-        let holds = |expected: &Value| {
+        let version_matches = |expected: &Value| {
             let (table, key) = (text(expected, "table"), text(expected, "key"));
             let found = state.rows.iter().find(|row| row.table == table && row.key == key);
             let version = found.filter(|row| row.value.is_some()).map_or(0, |row| row.version);
             expected["row_version"].as_u64() == Some(version)
         };
-        if !entries("expected").iter().all(holds) {
+        if !entries("expected").iter().all(version_matches) {
             return StatusCode::PRECONDITION_FAILED.into_response();
         }
     }
@@ -223,7 +224,7 @@
 }
 
 async fn promote(
-    State(store): State<FleetStore>,
+    State(store): State<RowStore>,
     headers: HeaderMap,
     Json(body): Json<Value>,
 ) -> Response {
@@ -239,18 +240,22 @@
     };
     {
         let mut state = store.state.lock();
-        if state.promotions.iter().any(|call| call.service == service && call.token > token) {
+        if state
+            .promotions
+            .iter()
+            .any(|request| request.service == service && request.token > token)
+        {
             return StatusCode::CONFLICT.into_response();
         }
         let (service, endpoint) = (service.to_owned(), id.to_owned());
-        state.promotions.push(PromotionCall { service, endpoint, holder, token });
+        state.promotions.push(PromotionRequest { service, endpoint, holder, token });
     }
     let Some(group) = store.groups.lock().get(service).cloned() else {
         return StatusCode::NOT_FOUND.into_response();
     };
     let id = id.to_owned();
     tokio::spawn(async move {
-        tokio::time::sleep(PROMOTION_TIME).await;
+        tokio::time::sleep(PROMOTION_DURATION).await;
         group.lock().promote(&id);
     });
     StatusCode::OK.into_response()
--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -1,4 +1,4 @@
-//! Database group: members, log shipping between them, and their listeners.
+//! Database group: its members, log replication between them, and their listeners.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,27 +14,27 @@
 use crate::session;
 use crate::sqlite::SqliteError;
 
-/// Longest time between two batches to a replica.
+/// Maximum time between two batches to a replica.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// Entries sent in one batch.
-const BATCH_ENTRIES: usize = 256;
-/// Time after which a blocked link or apply step is tried again.
-const RETRY_INTERVAL: Duration = Duration::from_millis(2);
-/// Interval at which a cut link is looked at.
-const CUT_INTERVAL: Duration = Duration::from_millis(10);
-/// Term under which a new group starts.
-const FIRST_TERM: u64 = 1;
+/// Maximum number of log entries in a batch.
+const MAX_BATCH_ENTRIES: usize = 256;
+/// Delay before a batch that the replica did not accept, or a busy apply step, is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(2);
+/// Interval at which replication checks whether two disconnected members can connect again.
+const LINK_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Term of the first primary of a new group.
+const INITIAL_TERM: u64 = 1;
 
 /// Errors of starting a group.
 #[derive(Debug, Snafu)]
 pub enum GroupError {
-    /// A member's engine could not be created.
+    /// A member's SQLite database could not be created.
     #[snafu(display("{source}"), context(false))]
-    Engine {
-        /// Cause reported by the engine.
+    Sqlite {
+        /// Cause reported by SQLite.
         source: SqliteError,
     },
-    /// The first promotion failed.
+    /// The initial promotion failed.
     #[snafu(display("{source}"), context(false))]
     Promotion {
         /// Cause reported by the member.
@@ -43,9 +43,9 @@
     /// A listener could not be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address that was tried.
+        /// Address of the listener.
         address: SocketAddr,
-        /// Cause reported by the system.
+        /// Cause reported by the operating system.
         source: std::io::Error,
     },
 }
@@ -58,7 +58,7 @@
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
 }
 
@@ -68,17 +68,17 @@
 pub struct GroupSettings {
     /// Name of the database.
     pub name: String,
-    /// Members, the first of which is the first primary.
+    /// Members; the first one is the initial primary.
     pub members: Vec<MemberSettings>,
-    /// Statements that a member runs at once.
+    /// Number of statements that a member runs concurrently.
     pub slots: usize,
-    /// Connections that a member accepts.
+    /// Maximum number of connections to a member.
     pub connections: u32,
-    /// Time that opening a connection takes, in milliseconds.
+    /// Simulated time to open a connection, in milliseconds.
     pub connect_ms: u64,
-    /// One-way delay between availability zones, in microseconds.
+    /// Simulated one-way delay between availability zones, in microseconds.
     pub zone_delay_us: u64,
-    /// Time that a statement takes besides the engine's own, in microseconds.
+    /// Simulated time of a statement in addition to SQLite's own, in microseconds.
     pub statement_us: u64,
 }
 
@@ -96,14 +96,14 @@
     }
 }
 
-/// Running group.
+/// Running database group; dropping it aborts its tasks.
 #[derive(Debug)]
 pub struct DatabaseGroup {
-    /// Settings the group was started with.
+    /// Settings with which the group was started.
     pub settings: GroupSettings,
     /// Members in the order of the settings.
     pub members: Vec<Arc<GroupMember>>,
-    /// Addresses on which the members listen.
+    /// Listen addresses of the members, in the order of the settings.
     pub addresses: Vec<SocketAddr>,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -115,28 +115,30 @@
 }
 
 impl DatabaseGroup {
-    /// Starts the members, promotes the first one and lets the others follow it.
+    /// Starts the members, promotes the first one and makes the others its replicas.
     pub async fn start(settings: GroupSettings) -> Result<Self, GroupError> {
         let mut members = Vec::new();
         for (index, member) in settings.members.iter().enumerate() {
             let created = GroupMember::create(index, &member.name, &member.zone, settings.slots)?;
             members.push(Arc::new(created));
         }
-        elect_first(&members)?;
-        let shared = Arc::new(settings.clone());
+        promote_first(&members)?;
+        let shared_settings = Arc::new(settings.clone());
         let mut tasks = Vec::new();
         let mut addresses = Vec::new();
         for (member, settings) in members.iter().zip(&settings.members) {
             let address = settings.listen;
             let listener = TcpListener::bind(address).await.context(ListenSnafu { address })?;
             addresses.push(listener.local_addr().context(ListenSnafu { address })?);
-            let size = members.len();
-            let serve = session::serve(listener, member.clone(), shared.clone(), size);
-            tasks.push(tokio::spawn(serve));
-            tasks.push(tokio::spawn(apply(member.clone())));
+            let group_size = members.len();
+            let sessions =
+                session::serve(listener, member.clone(), shared_settings.clone(), group_size);
+            tasks.push(tokio::spawn(sessions));
+            tasks.push(tokio::spawn(apply_log(member.clone())));
             for replica in members.iter().filter(|other| other.index != member.index) {
-                let ship = ship(member.clone(), replica.clone(), shared.clone());
-                tasks.push(tokio::spawn(ship));
+                let replication =
+                    replicate(member.clone(), replica.clone(), shared_settings.clone());
+                tasks.push(tokio::spawn(replication));
             }
         }
         Ok(Self { settings, members, addresses, tasks })
@@ -148,57 +150,57 @@
     }
 }
 
-fn elect_first(members: &[Arc<GroupMember>]) -> Result<(), GroupError> {
+fn promote_first(members: &[Arc<GroupMember>]) -> Result<(), GroupError> {
     let Some(first) = members.first() else {
         return Ok(());
     };
-    first.update(|core| core.fence(FIRST_TERM))?;
-    first.update(|core| core.promote(FIRST_TERM))?;
+    first.update(|state| state.fence(INITIAL_TERM))?;
+    first.update(|state| state.promote(INITIAL_TERM))?;
     for replica in &members[1..] {
-        replica.update(|core| core.follow(FIRST_TERM, &first.name))?;
+        replica.update(|state| state.follow(INITIAL_TERM, &first.name))?;
     }
     Ok(())
 }
 
-/// Sends the log of `from` to `to` for as long as `from` is a primary.
-async fn ship(from: Arc<GroupMember>, to: Arc<GroupMember>, settings: Arc<GroupSettings>) {
+/// Replicates the log of `from` to `to` whenever `from` is the primary.
+async fn replicate(from: Arc<GroupMember>, to: Arc<GroupMember>, settings: Arc<GroupSettings>) {
     let delay = zone_delay(&settings, &from.zone, &to.zone);
     let mut changes = from.changed.subscribe();
-    let mut held = 0;
+    let mut match_index = 0;
     loop {
         changes.borrow_and_update();
         let sent_at = Instant::now();
-        let batch = from.replication.lock().batch_after(held, BATCH_ENTRIES);
-        if batch.is_some() && !is_linked(&from, &to) {
-            // Nothing gets through, and waiting for a change would not end with the cut.
-            sleep(CUT_INTERVAL).await;
+        let batch = from.replication.lock().batch_after(match_index, MAX_BATCH_ENTRIES);
+        if batch.is_some() && !is_connected(&from, &to) {
+            // The end of a fault on `to` does not notify `from`, so this has to poll.
+            sleep(LINK_POLL_INTERVAL).await;
             continue;
         }
         if let Some(batch) = batch {
-            pause(delay).await;
-            let answer = to.update(|core| core.append_batch(&from.name, &batch));
-            pause(delay).await;
-            match answer {
-                Ok(BatchResponse::Matched(index)) if is_linked(&from, &to) => {
-                    held = index;
+            simulate_delay(delay).await;
+            let response = to.update(|state| state.append_batch(&from.name, &batch));
+            simulate_delay(delay).await;
+            match response {
+                Ok(BatchResponse::Matched(index)) if is_connected(&from, &to) => {
+                    match_index = index;
                     let term = batch.term;
-                    from.update(|core| core.acknowledge(to.index, term, index, sent_at));
+                    from.update(|state| state.acknowledge(to.index, term, index, sent_at));
                 }
                 Ok(BatchResponse::Mismatch(index)) => {
-                    held = index;
+                    match_index = index;
                     continue;
                 }
-                Ok(_) => sleep(RETRY_INTERVAL).await,
+                Ok(_) => sleep(RETRY_DELAY).await,
                 Err(error) => {
-                    log::error!("member {} cannot take a batch: {error}", to.name);
+                    log::error!("member {} failed to append a batch: {error}", to.name);
                     sleep(HEARTBEAT_INTERVAL).await;
                 }
             }
         }
-        // Acknowledgements wake the task as well; only a new entry or a barrier is worth a batch
-        // before the next heartbeat.
+        // Acknowledgements notify this task, too. Only a new entry or a leadership confirmation
+        // request is a reason to send a batch before the next heartbeat.
         let heartbeat_at = Instant::now() + HEARTBEAT_INTERVAL;
-        while !is_batch_due(&from, held, sent_at) {
+        while !is_batch_due(&from, match_index, sent_at) {
             match timeout_at(heartbeat_at, changes.changed()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return,
@@ -208,15 +210,16 @@
     }
 }
 
-fn is_batch_due(from: &GroupMember, held: u64, sent_at: Instant) -> bool {
-    let core = from.replication.lock();
-    let ships = core.is_primary() && !core.fault.cut && !core.fault.stopped && !core.fault.paused;
-    ships
-        && (core.last_index() > held
-            || core.confirmation_requested_at().is_some_and(|at| at > sent_at))
+fn is_batch_due(from: &GroupMember, match_index: u64, sent_at: Instant) -> bool {
+    let state = from.replication.lock();
+    let can_send =
+        state.is_primary() && !state.fault.cut && !state.fault.stopped && !state.fault.paused;
+    can_send
+        && (state.last_index() > match_index
+            || state.confirmation_requested_at().is_some_and(|at| at > sent_at))
 }
 
-fn is_linked(from: &GroupMember, to: &GroupMember) -> bool {
+fn is_connected(from: &GroupMember, to: &GroupMember) -> bool {
     let isolated = |member: &GroupMember| {
         let fault = member.fault();
         fault.cut || fault.stopped || fault.paused
@@ -224,15 +227,15 @@
     !isolated(from) && !isolated(to)
 }
 
-/// Applies received entries when their lag is over.
-async fn apply(member: Arc<GroupMember>) {
+/// Applies received log entries once their injected delay has passed.
+async fn apply_log(member: Arc<GroupMember>) {
     let mut changes = member.changed.subscribe();
     loop {
         changes.borrow_and_update();
         let next = member.replication.lock().apply_due();
         match next {
-            Ok(Some(due)) => {
-                sleep_until(due).await;
+            Ok(Some(due_at)) => {
+                sleep_until(due_at).await;
                 member.changed.send_modify(|count| *count += 1);
             }
             Ok(None) => {
@@ -240,9 +243,9 @@
                     return;
                 }
             }
-            Err(MemberError::Sqlite { source: SqliteError::Busy }) => sleep(RETRY_INTERVAL).await,
+            Err(MemberError::Sqlite { source: SqliteError::Busy }) => sleep(RETRY_DELAY).await,
             Err(error) => {
-                log::error!("member {} cannot apply its log: {error}", member.name);
+                log::error!("member {} failed to apply its log: {error}", member.name);
                 sleep(HEARTBEAT_INTERVAL).await;
             }
         }
@@ -257,7 +260,7 @@
     Duration::from_micros(settings.zone_delay_us)
 }
 
-async fn pause(delay: Duration) {
+async fn simulate_delay(delay: Duration) {
     if !delay.is_zero() {
         sleep(delay).await;
     }
