--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -80,7 +80,7 @@
     },
     /// The environment did not come up in time.
     #[snafu(display("the environment did not come up within {} s", START_LIMIT.as_secs()))]
-    Slow,
+    StartTimeout,
 }
 
 /// Choices for an environment.
@@ -97,9 +97,9 @@
     /// Port of the stand-ins' interface; zero takes a free one.
     pub control_port: u16,
     /// Tells whether delays and connect times of the profile are emulated.
-    pub delays: bool,
+    pub emulate_delays: bool,
     /// Time that a statement takes besides the engine's own.
-    pub statement_time: Duration,
+    pub extra_statement_time: Duration,
     /// Factor on the teams' rates and bursts.
     pub rate_factor: f64,
     /// Runtime on which the proxies run; the caller's if absent.
@@ -108,15 +108,15 @@
 
 impl LabOptions {
     /// Returns the usual choices for a deployment, on free ports.
-    pub fn of(profile: DeploymentProfile) -> Self {
+    pub fn new(profile: DeploymentProfile) -> Self {
         Self {
             profile,
             instances: 3,
             first_port: 0,
             admin_port: 0,
             control_port: 0,
-            delays: true,
-            statement_time: Duration::ZERO,
+            emulate_delays: true,
+            extra_statement_time: Duration::ZERO,
             rate_factor: 1.0,
             proxy_runtime: None,
         }
@@ -136,9 +136,9 @@
     /// Relays in front of each instance's address for peers.
     pub peer_relays: Vec<TcpRelay>,
     /// Address of the administration API.
-    pub admin: SocketAddr,
+    pub admin_address: SocketAddr,
     /// Address of the stand-ins' interface.
-    pub control: SocketAddr,
+    pub control_address: SocketAddr,
     /// Keys of the teams, in the order of the profile.
     pub keys: Vec<String>,
     /// Token of the operator.
@@ -152,28 +152,30 @@
         let hub = Arc::new(StandinHub::default());
         let mut tasks = JoinSet::new();
         let members = start_groups(&hub, &options).await?;
-        let (listener, control) = listen(options.control_port).await?;
+        let (listener, control_address) = listen(options.control_port).await?;
         let served = hub.clone();
         tasks.spawn(async move { drop(control::serve(listener, served).await) });
-        let platform = format!("http://{control}");
+        let platform = format!("http://{control_address}");
         let keys: Vec<String> = options.profile.teams.iter().map(|_| generate_key()).collect();
         store_document(&platform, &options, &keys).await?;
         let operator_token = generate_key();
-        let admin = start_admin(&mut tasks, &options, &platform, &operator_token).await?;
+        let admin_address = start_admin(&mut tasks, &options, &platform, &operator_token).await?;
         let mut environment = Self {
             options,
             hub,
             instances: Vec::new(),
             platform_relays: Vec::new(),
             peer_relays: Vec::new(),
-            admin,
-            control,
+            admin_address,
+            control_address,
             keys,
             operator_token,
             _tasks: tasks,
         };
         for number in 0..environment.options.instances {
-            let relay = TcpRelay::start(control).await.context(ListenSnafu { address: control })?;
+            let relay = TcpRelay::start(control_address)
+                .await
+                .context(ListenSnafu { address: control_address })?;
             let platform = format!("http://{}", relay.address());
             environment.platform_relays.push(relay);
             let settings = environment.instance_settings(number, &platform, &members);
@@ -187,7 +189,7 @@
         let (name, zone) = (settings.instance.clone(), settings.zone.clone());
         let runtime = self.options.proxy_runtime.clone().unwrap_or_else(Handle::current);
         let start = instance::start(settings, Arc::new(MonotonicClock));
-        let running = runtime.spawn(start).await.map_err(|_| LabError::Slow)??;
+        let running = runtime.spawn(start).await.map_err(|_| LabError::StartTimeout)??;
         let address = running.peer_address;
         let relay = TcpRelay::start(address).await.context(ListenSnafu { address })?;
         let peer = relay.address();
@@ -242,7 +244,7 @@
                 return Ok(());
             }
             if Instant::now() > end {
-                return SlowSnafu.fail();
+                return StartTimeoutSnafu.fail();
             }
             sleep(Duration::from_millis(10)).await;
         }
@@ -285,9 +287,17 @@
                 .collect(),
             slots: profile.slots as usize,
             connections: profile.connections,
-            connect_ms: if options.delays { profile.connect_time.as_millis() as u64 } else { 0 },
-            zone_delay_us: if options.delays { profile.zone_delay.as_micros() as u64 } else { 0 },
-            statement_us: options.statement_time.as_micros() as u64,
+            connect_ms: if options.emulate_delays {
+                profile.connect_time.as_millis() as u64
+            } else {
+                0
+            },
+            zone_delay_us: if options.emulate_delays {
+                profile.zone_delay.as_micros() as u64
+            } else {
+                0
+            },
+            statement_us: options.extra_statement_time.as_micros() as u64,
         };
         let group = DatabaseGroup::start(settings).await?;
         for (member, address) in group.members.iter().zip(&group.addresses) {
--- a/crates/lab/src/login.rs
+++ b/crates/lab/src/login.rs
@@ -1,7 +1,7 @@
 //! Bytes by which a caller logs in, for callers that are no more than a socket.
 
 /// End of the answer to a login that was accepted: ready for query, outside a transaction.
-pub const READY: &[u8] = &[b'Z', 0, 0, 0, 5, b'I'];
+pub const READY_FOR_QUERY: &[u8] = &[b'Z', 0, 0, 0, 5, b'I'];
 
 /// Returns the startup message of a team.
 pub fn startup_message(team: &str, database: &str) -> Vec<u8> {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -48,7 +48,7 @@
         first_port: arguments.port,
         admin_port: arguments.admin_port,
         control_port: arguments.control_port,
-        ..LabOptions::of(DeploymentProfile::of(arguments.profile))
+        ..LabOptions::new(DeploymentProfile::from_name(arguments.profile))
     };
     let environment = LabEnvironment::start(options).await?;
     describe(&environment);
@@ -77,7 +77,7 @@
     }
     println!();
     println!("databases: {}", profile.databases.join(", "));
-    println!("administration: http://{}", environment.admin);
+    println!("administration: http://{}", environment.admin_address);
     println!("operator token: {}", environment.operator_token);
-    println!("stand-ins and faults: http://{}", environment.control);
+    println!("stand-ins and faults: http://{}", environment.control_address);
 }
--- a/crates/lab/src/profile.rs
+++ b/crates/lab/src/profile.rs
@@ -59,7 +59,7 @@
     /// Table that callers browse.
     pub browse_table: &'static str,
     /// Age of data that browsing accepts.
-    pub browse_age: Duration,
+    pub browse_max_staleness: Duration,
     /// Teams.
     pub teams: [TeamProfile; 8],
 }
@@ -70,7 +70,7 @@
 
 impl DeploymentProfile {
     /// Returns the sizes of a deployment.
-    pub fn of(name: ProfileName) -> Self {
+    pub fn from_name(name: ProfileName) -> Self {
         match name {
             ProfileName::Volksdans => volksdans(),
             ProfileName::Apmpa => apmpa(),
@@ -115,7 +115,7 @@
             name: format!("{database}-browse"),
             database: database.to_owned(),
             tables: vec![self.browse_table.to_owned()],
-            stated_age_ms: Some(self.browse_age.as_millis() as u64),
+            stated_age_ms: Some(self.browse_max_staleness.as_millis() as u64),
             ..RouteSection::default()
         };
         let notices = RouteSection {
@@ -142,7 +142,7 @@
         connections: 25,
         connect_time: Duration::from_millis(10),
         browse_table: "seats",
-        browse_age: Duration::from_secs(2),
+        browse_max_staleness: Duration::from_secs(2),
         teams: [
             team("gent-dans", 400.0),
             team("leuven-dans", 400.0),
@@ -167,7 +167,7 @@
         connections: 35,
         connect_time: Duration::from_millis(30),
         browse_table: "visits",
-        browse_age: Duration::from_secs(5),
+        browse_max_staleness: Duration::from_secs(5),
         teams: [
             team("dispatch", 300.0),
             team("billing", 300.0),
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -37,7 +37,7 @@
     }
 
     /// Cuts or mends the relay; while it is cut, bytes stay on the way.
-    pub fn set_cut(&self, cut: bool) {
+    pub fn set_blocked(&self, cut: bool) {
         self.cut.send_replace(cut);
     }
 }
--- a/crates/lab/tests/bad_input.rs
+++ b/crates/lab/tests/bad_input.rs
@@ -51,7 +51,7 @@
     let password = login::password_message(&environment.keys[0]);
     stream.write_all(&password).await.expect("password");
     let mut seen = Vec::new();
-    while !seen.ends_with(login::READY) {
+    while !seen.ends_with(login::READY_FOR_QUERY) {
         let mut piece = [0; 4096];
         let read = stream.read(&mut piece).await.expect("answer");
         assert!(read > 0, "the caller is accepted");
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -33,9 +33,13 @@
 
 /// Starts an environment without emulated delays.
 pub async fn environment(instances: usize) -> LabEnvironment {
-    let profile = DeploymentProfile::of(ProfileName::Volksdans);
-    let options =
-        LabOptions { instances, delays: false, rate_factor: 100.0, ..LabOptions::of(profile) };
+    let profile = DeploymentProfile::from_name(ProfileName::Volksdans);
+    let options = LabOptions {
+        instances,
+        emulate_delays: false,
+        rate_factor: 100.0,
+        ..LabOptions::new(profile)
+    };
     LabEnvironment::start(options).await.expect("the environment starts")
 }
 
--- a/crates/lab/tests/limits.rs
+++ b/crates/lab/tests/limits.rs
@@ -31,8 +31,8 @@
 
 /// Changes the document in force.
 async fn change(environment: &LabEnvironment, edit: impl FnOnce(&mut Document)) -> u64 {
-    let client =
-        PlatformClient::new(format!("http://{}", environment.control), PATIENCE).expect("a client");
+    let client = PlatformClient::new(format!("http://{}", environment.control_address), PATIENCE)
+        .expect("a client");
     let store = DocumentStore::new(&client, ENVIRONMENT);
     let current = store.current().await.expect("read").expect("a document");
     let mut document = Document::parse(&current.text).expect("it is valid");
@@ -200,7 +200,7 @@
 
 async fn cuts_a_withdrawn_key_on_an_instance_that_lost_the_store(environment: LabEnvironment) {
     let caller = connect(&environment, 0).await;
-    environment.platform_relays[0].set_cut(true);
+    environment.platform_relays[0].set_blocked(true);
     sleep(Duration::from_millis(3_500)).await;
     caller.client.simple_query("SELECT 1").await.expect("peers prove the document");
     withdraw_first_key(&environment).await;
@@ -212,8 +212,8 @@
 async fn stops_keyed_requests_on_an_instance_that_lost_everybody(environment: LabEnvironment) {
     let caller = connect(&environment, 0).await;
     let other = connect(&environment, 1).await;
-    environment.platform_relays[0].set_cut(true);
-    environment.peer_relays.iter().for_each(|relay| relay.set_cut(true));
+    environment.platform_relays[0].set_blocked(true);
+    environment.peer_relays.iter().for_each(|relay| relay.set_blocked(true));
     withdraw_first_key(&environment).await;
     let (time, state) = time_until_cut(&caller).await;
     assert!(time < Duration::from_secs(3), "{time:?}");
@@ -223,8 +223,8 @@
 }
 
 async fn never_takes_a_lower_revision_and_settles_races(environment: LabEnvironment) {
-    let client =
-        PlatformClient::new(format!("http://{}", environment.control), PATIENCE).expect("a client");
+    let client = PlatformClient::new(format!("http://{}", environment.control_address), PATIENCE)
+        .expect("a client");
     let store = DocumentStore::new(&client, ENVIRONMENT);
     let current = store.current().await.expect("read").expect("a document");
     let one = format!("{}\n# one\n", current.text);
--- a/crates/load/src/capacity.rs
+++ b/crates/load/src/capacity.rs
@@ -17,8 +17,8 @@
 use wire::peer::{BeatRequest, InstanceSummary, TeamShare};
 
 use crate::cli::CapacityOptions;
-use crate::cpu;
 use crate::report::{self, LoadError};
+use crate::resource_usage;
 
 /// Name of the threads whose control work is measured.
 const CONTROL_THREADS: &str = "hb-control";
@@ -114,10 +114,10 @@
 
 fn catalog_bytes(size: usize) -> f64 {
     let document = document(size);
-    let before = cpu::resident_bytes();
+    let before = resource_usage::resident_bytes();
     let catalogs: Vec<DocumentCatalog> =
         (1..=4).map(|revision| DocumentCatalog::default().updated(revision, &document)).collect();
-    let grown = cpu::resident_bytes().saturating_sub(before);
+    let grown = resource_usage::resident_bytes().saturating_sub(before);
     grown as f64 / catalogs.len() as f64
 }
 
@@ -201,15 +201,15 @@
     let (proxy, standin) = (build(CONTROL_THREADS)?, build("hb-standin")?);
     let lab = LabOptions {
         instances,
-        delays: false,
+        emulate_delays: false,
         proxy_runtime: Some(proxy.handle().clone()),
-        ..LabOptions::of(DeploymentProfile::of(ProfileName::Volksdans))
+        ..LabOptions::new(DeploymentProfile::from_name(ProfileName::Volksdans))
     };
     let environment = standin.block_on(LabEnvironment::start(lab))?;
     std::thread::sleep(Duration::from_secs(1));
-    let before = cpu::thread_time(CONTROL_THREADS);
+    let before = resource_usage::thread_cpu_time(CONTROL_THREADS);
     std::thread::sleep(time);
-    let used = cpu::thread_time(CONTROL_THREADS) - before;
+    let used = resource_usage::thread_cpu_time(CONTROL_THREADS) - before;
     drop(environment);
     proxy.shutdown_background();
     standin.shutdown_background();
--- a/crates/load/src/timeline.rs
+++ b/crates/load/src/fault_injection.rs
@@ -13,7 +13,7 @@
 const LAG_MS: u64 = 500;
 
 /// Switches a fault on after `delay`, counted from now.
-pub async fn play(environment: &mut LabEnvironment, fault: FaultKind, delay: Duration) {
+pub async fn inject_fault(environment: &mut LabEnvironment, fault: FaultKind, delay: Duration) {
     sleep(delay).await;
     let database = environment.options.profile.databases[0];
     let group = environment.group(database).expect("the lab starts every group");
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -3,11 +3,11 @@
 mod caller;
 mod capacity;
 mod cli;
-mod cpu;
+mod fault_injection;
 mod overhead;
 mod report;
+mod resource_usage;
 mod soak;
-mod timeline;
 mod workload;
 
 use std::process::ExitCode;
--- a/crates/load/src/overhead.rs
+++ b/crates/load/src/overhead.rs
@@ -16,8 +16,8 @@
 use tokio_postgres::{Client, Config, NoTls};
 
 use crate::cli::OverheadOptions;
-use crate::cpu;
 use crate::report::{self, LoadError};
+use crate::resource_usage;
 
 /// Name of the proxy's threads.
 const PROXY_THREADS: &str = "hb-proxy";
@@ -55,15 +55,15 @@
     let proxy = runtime(PROXY_THREADS, options.proxy_threads)?;
     let standin = runtime("hb-standin", 4)?;
     let callers = runtime("hb-caller", 4)?;
-    let mut profile = DeploymentProfile::of(ProfileName::Volksdans);
+    let mut profile = DeploymentProfile::from_name(ProfileName::Volksdans);
     profile.slots = WIDE;
     profile.connections = WIDE;
     let lab = LabOptions {
         instances: 1,
-        delays: false,
+        emulate_delays: false,
         rate_factor: RATE_FACTOR,
         proxy_runtime: Some(proxy.handle().clone()),
-        ..LabOptions::of(profile)
+        ..LabOptions::new(profile)
     };
     let environment = standin.block_on(LabEnvironment::start(lab))?;
     let report = callers.block_on(measure(&environment, options))?;
@@ -113,9 +113,10 @@
 }
 
 async fn idle_share() -> f64 {
-    let before = cpu::thread_time(PROXY_THREADS);
+    let before = resource_usage::thread_cpu_time(PROXY_THREADS);
     tokio::time::sleep(IDLE_TIME).await;
-    (cpu::thread_time(PROXY_THREADS) - before).as_secs_f64() / IDLE_TIME.as_secs_f64()
+    (resource_usage::thread_cpu_time(PROXY_THREADS) - before).as_secs_f64()
+        / IDLE_TIME.as_secs_f64()
 }
 
 async fn measure_point(
@@ -129,7 +130,7 @@
     for _ in 0..callers {
         clients.push(connect(environment, address).await?);
     }
-    let before = cpu::thread_time(PROXY_THREADS);
+    let before = resource_usage::thread_cpu_time(PROXY_THREADS);
     let begin = Instant::now();
     let tasks: Vec<_> =
         clients.into_iter().map(|client| tokio::spawn(repeat(client, begin + time))).collect();
@@ -138,7 +139,7 @@
         latencies.add(task.await.expect("a caller does not panic")?).expect("same bounds");
     }
     let seconds = begin.elapsed().as_secs_f64();
-    let used = (cpu::thread_time(PROXY_THREADS) - before).as_secs_f64();
+    let used = (resource_usage::thread_cpu_time(PROXY_THREADS) - before).as_secs_f64();
     let statements = latencies.len() as f64;
     let proxy_cpu = (path == "proxy").then_some(used * 1e6 / statements);
     Ok(OverheadPoint {
@@ -190,14 +191,14 @@
     let profile = &environment.options.profile;
     let mut startup = login::startup_message(profile.teams[0].name, profile.databases[0]);
     startup.extend(login::password_message(&environment.keys[0]));
-    let before = cpu::resident_bytes();
+    let before = resource_usage::resident_bytes();
     let mut open = Vec::with_capacity(count);
     for _ in 0..count {
         let mut stream = TcpStream::connect(address).await?;
         stream.write_all(&startup).await?;
         let mut seen = Vec::new();
         let mut piece = [0; 1024];
-        while !seen.ends_with(login::READY) {
+        while !seen.ends_with(login::READY_FOR_QUERY) {
             let read = stream.read(&mut piece).await?;
             if read == 0 {
                 return Err(std::io::Error::other("the proxy refused an idle caller").into());
@@ -207,7 +208,7 @@
         open.push(stream);
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
-    Ok(cpu::resident_bytes().saturating_sub(before) as f64 / count as f64)
+    Ok(resource_usage::resident_bytes().saturating_sub(before) as f64 / count as f64)
 }
 
 fn describe(report: &OverheadReport) -> String {
--- a/crates/load/src/cpu.rs
+++ b/crates/load/src/resource_usage.rs
@@ -11,7 +11,7 @@
 /// Returns the processor time of all threads whose name starts with `prefix`.
 ///
 /// The scheduler's nanosecond count is used where the kernel has it, else clock ticks.
-pub fn thread_time(prefix: &str) -> Duration {
+pub fn thread_cpu_time(prefix: &str) -> Duration {
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
         return Duration::ZERO;
     };
--- a/crates/load/src/workload.rs
+++ b/crates/load/src/workload.rs
@@ -16,8 +16,8 @@
 
 use crate::caller::{self, BROWSE_ROWS, CALLER_PATIENCE, RunContext};
 use crate::cli::{AccessPath, FaultKind, ProfileOptions};
+use crate::fault_injection;
 use crate::report::{self, LoadError};
-use crate::timeline;
 
 /// Callers of each team.
 const TEAM_CALLERS: usize = 6;
@@ -77,11 +77,11 @@
 }
 
 async fn run_profile(options: &ProfileOptions) -> Result<ProfileReport, LoadError> {
-    let profile = DeploymentProfile::of(options.profile);
+    let profile = DeploymentProfile::from_name(options.profile);
     let lab = LabOptions {
         instances: options.instances,
-        statement_time: STATEMENT_TIME,
-        ..LabOptions::of(profile.clone())
+        extra_statement_time: STATEMENT_TIME,
+        ..LabOptions::new(profile.clone())
     };
     let mut environment = LabEnvironment::start(lab).await?;
     let (addresses, _relays) = addresses(&environment, options.path).await?;
@@ -104,7 +104,7 @@
             callers.push(tokio::spawn(caller::call(context.clone(), team, seed, rate)));
         }
     }
-    timeline::play(&mut environment, options.fault, options.time() / 3).await;
+    fault_injection::inject_fault(&mut environment, options.fault, options.time() / 3).await;
     for caller in callers {
         caller.await.expect("a caller does not panic");
     }
