--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a whole environment.
+//! Starts and stops a whole environment: stand-ins, proxies and the administration API.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,11 +24,11 @@
 use crate::profile::DeploymentProfile;
 use crate::relay::TcpRelay;
 
-/// Time that an environment has to come up.
-const START_LIMIT: Duration = Duration::from_secs(10);
-/// Name of the environment.
+/// Bounds the wait until every instance of a starting environment is ready.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Name of the environment in the platform's document store.
 pub const ENVIRONMENT: &str = "lab";
-/// Name of the operator.
+/// Name of the only operator of the administration API.
 pub const OPERATOR: &str = "lab";
 
 /// Errors of starting an environment.
@@ -37,77 +37,78 @@
     /// A listener could not be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address that was tried.
+        /// Address to listen on.
         address: SocketAddr,
-        /// Cause reported by the system.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A database group did not start.
     #[snafu(display("{source}"), context(false))]
     Group {
-        /// Cause.
+        /// Underlying error.
         source: GroupError,
     },
     /// An instance did not start.
     #[snafu(display("{source}"), context(false))]
     Instance {
-        /// Cause.
+        /// Underlying error.
         source: InstanceError,
     },
     /// The administration API did not start.
     #[snafu(display("{source}"), context(false))]
     Admin {
-        /// Cause.
+        /// Underlying error.
         source: AdminError,
     },
     /// The platform's client could not be created.
     #[snafu(display("{source}"), context(false))]
     Platform {
-        /// Cause.
+        /// Underlying error.
         source: PlatformError,
     },
     /// The first document could not be stored.
     #[snafu(display("{source}"), context(false))]
     Store {
-        /// Cause.
+        /// Underlying error.
         source: StoreError,
     },
     /// The document cannot be written as TOML.
     #[snafu(display("{source}"), context(false))]
     Document {
-        /// Cause.
+        /// Underlying error.
         source: toml::ser::Error,
     },
-    /// The environment did not come up in time.
-    #[snafu(display("the environment did not come up within {} s", START_LIMIT.as_secs()))]
+    /// An instance was not ready when the start timeout expired.
+    #[snafu(display("the environment did not come up within {} s", START_TIMEOUT.as_secs()))]
     StartTimeout,
 }
 
-/// Choices for an environment.
+/// Options of an environment.
 #[derive(Clone, Debug)]
 pub struct LabOptions {
-    /// Sizes of the deployment.
+    /// Topology, capacities and teams of the deployment.
     pub profile: DeploymentProfile,
     /// Number of proxy instances.
     pub instances: usize,
-    /// Port of the first instance; zero takes free ports.
+    /// Port of the first instance; the others follow. Zero lets the system choose all ports.
     pub first_port: u16,
-    /// Port of the administration API; zero takes a free one.
+    /// Port of the administration API; zero lets the system choose.
     pub admin_port: u16,
-    /// Port of the stand-ins' interface; zero takes a free one.
+    /// Port of the stand-ins' control API; zero lets the system choose.
     pub control_port: u16,
-    /// Tells whether delays and connect times of the profile are emulated.
+    /// Whether the stand-ins emulate the profile's zone delay and connect time.
     pub emulate_delays: bool,
-    /// Time that a statement takes besides the engine's own.
+    /// Time that each statement takes on a member in addition to its execution.
     pub extra_statement_time: Duration,
-    /// Factor on the teams' rates and bursts.
+    /// Factor by which the teams' rates and bursts are multiplied.
     pub rate_factor: f64,
-    /// Runtime on which the proxies run; the caller's if absent.
+    /// Runtime for the proxies; the current one if absent.
     pub proxy_runtime: Option<Handle>,
 }
 
 impl LabOptions {
-    /// Returns the usual choices for a deployment, on free ports.
+    /// Creates the default options for a deployment: three instances, on ports that the system
+    /// chooses.
     pub fn new(profile: DeploymentProfile) -> Self {
         Self {
             profile,
@@ -123,38 +124,40 @@
     }
 }
 
-/// Running environment; everything ends when it is dropped.
+/// Running environment; dropping it stops all its parts.
 pub struct LabEnvironment {
-    /// Choices it was started with.
+    /// Options with which it was started.
     pub options: LabOptions,
-    /// Stand-ins.
+    /// Stand-ins for the platform and the databases.
     pub hub: Arc<StandinHub>,
     /// Proxy instances.
     pub instances: Vec<RunningInstance>,
     /// Relays between each instance and the platform.
     pub platform_relays: Vec<TcpRelay>,
-    /// Relays in front of each instance's address for peers.
+    /// Relays in front of each instance's peer listener.
     pub peer_relays: Vec<TcpRelay>,
     /// Address of the administration API.
     pub admin_address: SocketAddr,
-    /// Address of the stand-ins' interface.
+    /// Address of the stand-ins' control API.
     pub control_address: SocketAddr,
-    /// Keys of the teams, in the order of the profile.
+    /// API keys of the teams, in the profile's order.
     pub keys: Vec<String>,
-    /// Token of the operator.
+    /// Bearer token of the operator.
     pub operator_token: String,
     _tasks: JoinSet<()>,
 }
 
 impl LabEnvironment {
-    /// Starts an environment and waits until every instance serves.
+    /// Starts an environment and waits until every instance is ready and knows all primaries.
+    ///
+    /// Returns [`LabError::StartTimeout`] if that takes longer than 10 s.
     pub async fn start(options: LabOptions) -> Result<Self, LabError> {
         let hub = Arc::new(StandinHub::default());
         let mut tasks = JoinSet::new();
         let members = start_groups(&hub, &options).await?;
         let (listener, control_address) = listen(options.control_port).await?;
-        let served = hub.clone();
-        tasks.spawn(async move { drop(control::serve(listener, served).await) });
+        let api_hub = hub.clone();
+        tasks.spawn(async move { drop(control::serve(listener, api_hub).await) });
         let platform = format!("http://{control_address}");
         let keys: Vec<String> = options.profile.teams.iter().map(|_| generate_key()).collect();
         store_document(&platform, &options, &keys).await?;
@@ -172,13 +175,13 @@
             operator_token,
             _tasks: tasks,
         };
-        for number in 0..environment.options.instances {
+        for index in 0..environment.options.instances {
             let relay = TcpRelay::start(control_address)
                 .await
                 .context(ListenSnafu { address: control_address })?;
             let platform = format!("http://{}", relay.address());
             environment.platform_relays.push(relay);
-            let settings = environment.instance_settings(number, &platform, &members);
+            let settings = environment.instance_settings(index, &platform, &members);
             environment.start_instance(settings).await?;
         }
         environment.wait_until_ready().await?;
@@ -202,21 +205,21 @@
 
     fn instance_settings(
         &self,
-        number: usize,
+        index: usize,
         platform: &str,
         members: &[MemberAddress],
     ) -> ProxySettings {
         let options = &self.options;
         let port = match options.first_port {
             0 => 0,
-            first => first + number as u16,
+            first => first + index as u16,
         };
         ProxySettings {
-            instance: format!("entry-{}", number + 1),
-            zone: options.profile.zones[number % options.profile.zones.len()].to_owned(),
+            instance: format!("entry-{}", index + 1),
+            zone: options.profile.zones[index % options.profile.zones.len()].to_owned(),
             environment: ENVIRONMENT.to_owned(),
-            listen: local(port),
-            peer_listen: local(0),
+            listen: loopback_address(port),
+            peer_listen: loopback_address(0),
             platform: platform.to_owned(),
             members: members.to_vec(),
             database_user: "hibiscus".to_owned(),
@@ -233,7 +236,7 @@
     }
 
     async fn wait_until_ready(&self) -> Result<(), LabError> {
-        let end = Instant::now() + START_LIMIT;
+        let deadline = Instant::now() + START_TIMEOUT;
         loop {
             let ready = self.instances.iter().all(|running| {
                 let databases = running.instance.databases();
@@ -243,7 +246,7 @@
             if ready {
                 return Ok(());
             }
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 return StartTimeoutSnafu.fail();
             }
             sleep(Duration::from_millis(10)).await;
@@ -256,12 +259,12 @@
     }
 }
 
-fn local(port: u16) -> SocketAddr {
+fn loopback_address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
 async fn listen(port: u16) -> Result<(TcpListener, SocketAddr), LabError> {
-    let address = local(port);
+    let address = loopback_address(port);
     let listener = TcpListener::bind(address).await.context(ListenSnafu { address })?;
     let address = listener.local_addr().context(ListenSnafu { address })?;
     Ok((listener, address))
@@ -273,16 +276,16 @@
 ) -> Result<Vec<MemberAddress>, LabError> {
     let profile = &options.profile;
     let mut members = Vec::new();
-    for (number, database) in profile.databases.iter().enumerate() {
-        // Each database starts with its primary in another availability zone.
-        let zones = (0..3).map(|step| profile.zones[(number + step) % 3]);
+    for (index, database) in profile.databases.iter().enumerate() {
+        // Rotates the zones, so that the databases' first primaries are in different zones.
+        let zones = (0..3).map(|offset| profile.zones[(index + offset) % 3]);
         let settings = GroupSettings {
             name: (*database).to_owned(),
             members: zones
                 .map(|zone| MemberSettings {
                     name: zone.to_owned(),
                     zone: zone.to_owned(),
-                    listen: local(0),
+                    listen: loopback_address(0),
                 })
                 .collect(),
             slots: profile.slots as usize,
@@ -318,7 +321,7 @@
     options: &LabOptions,
     keys: &[String],
 ) -> Result<(), LabError> {
-    let client = PlatformClient::new(platform, START_LIMIT)?;
+    let client = PlatformClient::new(platform, START_TIMEOUT)?;
     let mut document = options.profile.document(keys);
     for team in &mut document.teams {
         team.rate *= options.rate_factor;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! A whole environment as tasks of one process: stand-ins, proxies and the administration API.
+//! Runs a whole environment in one process: stand-ins, proxies and the administration API.
 
 pub mod environment;
 pub mod login;
--- a/crates/lab/src/login.rs
+++ b/crates/lab/src/login.rs
@@ -1,9 +1,10 @@
-//! Bytes by which a caller logs in, for callers that are no more than a socket.
+//! Login messages of the PostgreSQL protocol, for tests and measurements on bare TCP sockets.
 
-/// End of the answer to a login that was accepted: ready for query, outside a transaction.
+/// Encoded `ReadyForQuery` message outside a transaction; it ends the response to a successful
+/// login.
 pub const READY_FOR_QUERY: &[u8] = &[b'Z', 0, 0, 0, 5, b'I'];
 
-/// Returns the startup message of a team.
+/// Encodes the startup message with the team as user.
 pub fn startup_message(team: &str, database: &str) -> Vec<u8> {
     let mut body = vec![0, 3, 0, 0];
     for text in ["user", team, "database", database] {
@@ -16,7 +17,7 @@
     message
 }
 
-/// Returns the password message with a key.
+/// Encodes the password message with an API key.
 pub fn password_message(key: &str) -> Vec<u8> {
     let mut message = vec![b'p'];
     message.extend_from_slice(&(key.len() as u32 + 5).to_be_bytes());
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `hibiscus-lab`: a whole environment in one process, for the first try.
+//! `hibiscus-lab`: runs a whole environment in one process, to try the system out.
 
 use std::process::ExitCode;
 
@@ -10,11 +10,11 @@
 
 const PROGRAM: &str = "hibiscus-lab";
 
-/// Stand-ins, proxies and the administration API in one process.
+/// Runs stand-ins, proxies and the administration API in one process.
 #[derive(Debug, Parser)]
 #[command(name = PROGRAM, version)]
 struct LabArguments {
-    /// Deployment whose sizes are used.
+    /// Deployment profile: databases, zones, capacities and teams.
     #[arg(long, env = "HIBISCUS_LAB_PROFILE", default_value = "volksdans")]
     profile: ProfileName,
     /// Number of proxy instances.
@@ -26,7 +26,7 @@
     /// Port of the administration API.
     #[arg(long, env = "HIBISCUS_LAB_ADMIN_PORT", default_value_t = 6400)]
     admin_port: u16,
-    /// Port of the stand-ins' interface, where faults are switched.
+    /// Port of the stand-ins' control API, which injects faults.
     #[arg(long, env = "HIBISCUS_LAB_CONTROL_PORT", default_value_t = 7000)]
     control_port: u16,
     #[command(flatten)]
@@ -36,8 +36,8 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let arguments = LabArguments::parse();
-    if let Err(status) = program::begin(PROGRAM, &arguments.logging) {
-        return status;
+    if let Err(exit_code) = program::begin(PROGRAM, &arguments.logging) {
+        return exit_code;
     }
     program::end(PROGRAM, run(arguments).await)
 }
@@ -51,12 +51,12 @@
         ..LabOptions::new(DeploymentProfile::from_name(arguments.profile))
     };
     let environment = LabEnvironment::start(options).await?;
-    describe(&environment);
+    print_summary(&environment);
     program::shutdown_signal().await;
     Ok(())
 }
 
-fn describe(environment: &LabEnvironment) {
+fn print_summary(environment: &LabEnvironment) {
     let profile = &environment.options.profile;
     println!("environment {} is up", profile.name.label());
     println!();
--- a/crates/lab/src/profile.rs
+++ b/crates/lab/src/profile.rs
@@ -1,4 +1,4 @@
-//! Sizes of the two deployments that the project is built for.
+//! Profiles of the two reference deployments.
 
 use std::time::Duration;
 
@@ -28,16 +28,16 @@
     }
 }
 
-/// Team of a deployment.
+/// Team of a deployment and its admission limit.
 #[derive(Clone, Copy, Debug)]
 pub struct TeamProfile {
     /// Name of the team.
     pub name: &'static str,
-    /// Statements a second.
+    /// Admitted statements per second.
     pub rate: f64,
 }
 
-/// Sizes of a deployment.
+/// Topology, capacities and teams of a deployment.
 #[derive(Clone, Debug)]
 pub struct DeploymentProfile {
     /// Name of the deployment.
@@ -50,17 +50,17 @@
     pub caller_delay: Duration,
     /// Databases, each with one member in every availability zone.
     pub databases: [&'static str; 3],
-    /// Statements that a member runs at once.
+    /// Maximum number of statements that a member runs concurrently.
     pub slots: u32,
-    /// Connections that a member accepts.
+    /// Maximum number of connections to a member.
     pub connections: u32,
-    /// Time that opening a connection takes.
+    /// Time that a member takes to open a connection.
     pub connect_time: Duration,
-    /// Table that callers browse.
+    /// Table that callers read most, on a route that accepts stale data.
     pub browse_table: &'static str,
-    /// Age of data that browsing accepts.
+    /// Maximum staleness of reads from that table.
     pub browse_max_staleness: Duration,
-    /// Teams.
+    /// Teams with an API key.
     pub teams: [TeamProfile; 8],
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl DeploymentProfile {
-    /// Returns the sizes of a deployment.
+    /// Returns the profile of a deployment.
     pub fn from_name(name: ProfileName) -> Self {
         match name {
             ProfileName::Volksdans => volksdans(),
@@ -77,7 +77,9 @@
         }
     }
 
-    /// Returns the configuration document, with one key hash for each team.
+    /// Builds the configuration document.
+    ///
+    /// Each team has the hash of one of `keys`; the team `open` has none.
     pub fn document(&self, keys: &[String]) -> Document {
         let team = |(profile, key): (&TeamProfile, &String)| TeamSection {
             name: profile.name.to_owned(),
@@ -86,7 +88,7 @@
             keys: vec![KeyHash::generate(key)],
             databases: Vec::new(),
         };
-        let open = TeamSection {
+        let anonymous = TeamSection {
             name: "open".to_owned(),
             rate: 200.0,
             burst: 400.0,
@@ -94,7 +96,7 @@
         };
         Document {
             format: FORMAT_VERSION,
-            teams: self.teams.iter().zip(keys).map(team).chain([open]).collect(),
+            teams: self.teams.iter().zip(keys).map(team).chain([anonymous]).collect(),
             databases: self.databases.iter().map(|name| self.database(name)).collect(),
             routes: self.databases.iter().flat_map(|name| self.routes(name)).collect(),
         }
@@ -111,14 +113,14 @@
     }
 
     fn routes(&self, database: &str) -> [RouteSection; 2] {
-        let browse = RouteSection {
+        let browse_route = RouteSection {
             name: format!("{database}-browse"),
             database: database.to_owned(),
             tables: vec![self.browse_table.to_owned()],
             stated_age_ms: Some(self.browse_max_staleness.as_millis() as u64),
             ..RouteSection::default()
         };
-        let notices = RouteSection {
+        let notices_route = RouteSection {
             name: format!("{database}-notices"),
             database: database.to_owned(),
             kind: RouteKind::Read,
@@ -127,7 +129,7 @@
             open: true,
             ..RouteSection::default()
         };
-        [browse, notices]
+        [browse_route, notices_route]
     }
 }
 
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relay in front of a listener, whose traffic can be cut without either end noticing.
+//! TCP relay that can withhold traffic while both connections stay open.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,14 +9,14 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Bytes copied at once.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Size of the copy buffer of each direction.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Relay of TCP connections.
+/// Relay in front of a TCP listener; dropping it closes all its connections.
 #[derive(Debug)]
 pub struct TcpRelay {
     address: SocketAddr,
-    cut: watch::Sender<bool>,
+    blocked: watch::Sender<bool>,
     _tasks: JoinSet<()>,
 }
 
@@ -25,10 +25,10 @@
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((target.ip(), 0)).await?;
         let address = listener.local_addr()?;
-        let cut = watch::Sender::new(false);
+        let blocked = watch::Sender::new(false);
         let mut tasks = JoinSet::new();
-        tasks.spawn(accept(listener, target, cut.subscribe()));
-        Ok(Self { address, cut, _tasks: tasks })
+        tasks.spawn(accept(listener, target, blocked.subscribe()));
+        Ok(Self { address, blocked, _tasks: tasks })
     }
 
     /// Returns the address on which the relay listens.
@@ -36,52 +36,54 @@
         self.address
     }
 
-    /// Cuts or mends the relay; while it is cut, bytes stay on the way.
-    pub fn set_blocked(&self, cut: bool) {
-        self.cut.send_replace(cut);
+    /// Blocks or unblocks the relay in both directions.
+    ///
+    /// While it is blocked, connections stay open and bytes are buffered; unblocking delivers them.
+    pub fn set_blocked(&self, blocked: bool) {
+        self.blocked.send_replace(blocked);
     }
 }
 
-async fn accept(listener: TcpListener, target: SocketAddr, cut: watch::Receiver<bool>) {
+async fn accept(listener: TcpListener, target: SocketAddr, blocked: watch::Receiver<bool>) {
     let mut connections = JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
-        let cut = cut.clone();
+        let blocked = blocked.clone();
         connections.spawn(async move {
-            let _ = carry(stream, target, cut).await;
+            let _ = relay_connection(stream, target, blocked).await;
         });
         while connections.try_join_next().is_some() {}
     }
 }
 
-async fn carry(
+async fn relay_connection(
     caller: TcpStream,
     target: SocketAddr,
-    mut cut: watch::Receiver<bool>,
+    mut blocked: watch::Receiver<bool>,
 ) -> io::Result<()> {
-    let _ = cut.wait_for(|cut| !cut).await;
+    let _ = blocked.wait_for(|blocked| !blocked).await;
     let server = TcpStream::connect(target).await?;
     caller.set_nodelay(true)?;
     server.set_nodelay(true)?;
     let (caller_read, caller_write) = caller.into_split();
     let (server_read, server_write) = server.into_split();
     tokio::select! {
-        copied = copy(caller_read, server_write, cut.clone()) => copied,
-        copied = copy(server_read, caller_write, cut) => copied,
+        copied = copy_bytes(caller_read, server_write, blocked.clone()) => copied,
+        copied = copy_bytes(server_read, caller_write, blocked) => copied,
     }
 }
 
-async fn copy(
+async fn copy_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut cut: watch::Receiver<bool>,
+    mut blocked: watch::Receiver<bool>,
 ) -> io::Result<()> {
-    let mut piece = vec![0; PIECE_BYTES];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let read = from.read(&mut piece).await?;
-        let _ = cut.wait_for(|cut| !cut).await;
+        let read = from.read(&mut buffer).await?;
+        let _ = blocked.wait_for(|blocked| !blocked).await;
         if read == 0 {
             return Ok(());
         }
-        to.write_all(&piece[..read]).await?;
+        to.write_all(&buffer[..read]).await?;
     }
 }
--- a/crates/lab/tests/administration.rs
+++ b/crates/lab/tests/administration.rs
@@ -1,4 +1,4 @@
-//! Administration API: operators, plans, conflicts, lost answers, promotion.
+//! Tests of the administration API: authentication, plans, conflicts, lost responses, promotion.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 use state::credential::KeyHash;
 use tokio::net::TcpListener;
 
-const TOKEN: &str = "operator token";
-const FIRST: &str = "format = 1\n\n[[team]]\nname = \"a\"\nrate = 10.0\n";
-const SECOND: &str = "format = 1\n\n[[team]]\nname = \"a\"\nrate = 20.0\n";
+const OPERATOR_TOKEN: &str = "operator token";
+const FIRST_DOCUMENT: &str = "format = 1\n\n[[team]]\nname = \"a\"\nrate = 10.0\n";
+const SECOND_DOCUMENT: &str = "format = 1\n\n[[team]]\nname = \"a\"\nrate = 20.0\n";
 
-/// Platform with the APIs of a trial and a production environment.
-struct Platform {
+/// Platform stand-in with the administration APIs of a trial and a production environment.
+struct TestPlatform {
     hub: Arc<StandinHub>,
     trial: SocketAddr,
     production: SocketAddr,
@@ -34,116 +34,121 @@
     (listener, address)
 }
 
-async fn start_admin(platform: SocketAddr, environment: &str, from: Option<&str>) -> SocketAddr {
+async fn start_admin(platform: SocketAddr, environment: &str, source: Option<&str>) -> SocketAddr {
     let (listener, address) = listen().await;
     let settings = AdminSettings {
         listen: address,
         environment: environment.to_owned(),
-        promote_from: from.map(str::to_owned),
+        promote_from: source.map(str::to_owned),
         platform: format!("http://{platform}"),
         operators: vec![OperatorCredential {
             name: "ann".to_owned(),
-            hash: KeyHash::generate(TOKEN),
+            hash: KeyHash::generate(OPERATOR_TOKEN),
         }],
     };
     tokio::spawn(api::serve_on(listener, settings));
     address
 }
 
-async fn start() -> Platform {
+async fn start_platform() -> TestPlatform {
     let hub = Arc::new(StandinHub::default());
     let (listener, platform) = listen().await;
     tokio::spawn(control::serve(listener, hub.clone()));
     let trial = start_admin(platform, "trial", None).await;
     let production = start_admin(platform, "production", Some("trial")).await;
-    Platform { hub, trial, production }
+    TestPlatform { hub, trial, production }
 }
 
-async fn post(address: SocketAddr, path: &str, body: &impl Serialize) -> Response {
-    let request = Client::new().post(format!("http://{address}{path}")).bearer_auth(TOKEN);
-    request.json(body).send().await.expect("an answer")
+async fn post_json(address: SocketAddr, path: &str, body: &impl Serialize) -> Response {
+    let request = Client::new().post(format!("http://{address}{path}")).bearer_auth(OPERATOR_TOKEN);
+    request.json(body).send().await.expect("a response")
 }
 
-async fn read<T: DeserializeOwned>(response: Response, status: StatusCode) -> T {
+async fn read_json<T: DeserializeOwned>(response: Response, status: StatusCode) -> T {
     assert_eq!(response.status(), status);
-    response.json().await.expect("the expected shape")
+    response.json().await.expect("valid JSON of the expected type")
 }
 
 async fn apply(address: SocketAddr, expected: u64, text: &str, request: &str) -> Response {
     let body = ApplyRequest { expected, text: text.to_owned(), request: request.to_owned() };
-    post(address, "/v1/document", &body).await
+    post_json(address, "/v1/document", &body).await
 }
 
 #[tokio::test]
-async fn refuses_whoever_is_no_operator() {
-    let platform = start().await;
+async fn rejects_requests_without_an_operator_token() {
+    let platform = start_platform().await;
     let url = format!("http://{}/v1/status", platform.trial);
     let client = Client::new();
-    let without = client.get(&url).send().await.expect("an answer");
+    let without = client.get(&url).send().await.expect("a response");
     assert_eq!(without.status(), StatusCode::UNAUTHORIZED);
-    let wrong = client.get(&url).bearer_auth("wrong").send().await.expect("an answer");
+    let wrong = client.get(&url).bearer_auth("wrong").send().await.expect("a response");
     assert_eq!(wrong.status(), StatusCode::UNAUTHORIZED);
-    let right = client.get(&url).bearer_auth(TOKEN).send().await.expect("an answer");
-    let status: StatusReply = read(right, StatusCode::OK).await;
+    let right = client.get(&url).bearer_auth(OPERATOR_TOKEN).send().await.expect("a response");
+    let status: StatusReply = read_json(right, StatusCode::OK).await;
     assert_eq!((status.environment.as_str(), status.head), ("trial", None));
 }
 
 #[tokio::test]
 async fn plans_applies_and_reports_conflicts() {
-    let platform = start().await;
+    let platform = start_platform().await;
     let invalid = DocumentRequest { text: "format = 1\nteams = 3\n".to_owned() };
-    let refused = post(platform.trial, "/v1/plan", &invalid).await;
-    let reply: ErrorReply = read(refused, StatusCode::UNPROCESSABLE_ENTITY).await;
+    let refused = post_json(platform.trial, "/v1/plan", &invalid).await;
+    let reply: ErrorReply = read_json(refused, StatusCode::UNPROCESSABLE_ENTITY).await;
     assert!(reply.detail.contains("line 2, column 1"), "{}", reply.detail);
     let applied: ApplyReply =
-        read(apply(platform.trial, 0, FIRST, "r1").await, StatusCode::OK).await;
+        read_json(apply(platform.trial, 0, FIRST_DOCUMENT, "r1").await, StatusCode::OK).await;
     assert_eq!((applied.head.revision, applied.head.operator.as_str()), (1, "ann"));
-    let change = DocumentRequest { text: SECOND.to_owned() };
+    let change = DocumentRequest { text: SECOND_DOCUMENT.to_owned() };
     let plan: PlanReply =
-        read(post(platform.trial, "/v1/plan", &change).await, StatusCode::OK).await;
+        read_json(post_json(platform.trial, "/v1/plan", &change).await, StatusCode::OK).await;
     let field = "rate: 10.0 -> 20.0".to_owned();
     assert_eq!(plan.changes[0].change, ChangeKind::Changed(vec![field.clone()]));
-    let lost = apply(platform.trial, 0, SECOND, "r2").await;
-    let reply: ErrorReply = read(lost, StatusCode::CONFLICT).await;
+    let conflicting = apply(platform.trial, 0, SECOND_DOCUMENT, "r2").await;
+    let reply: ErrorReply = read_json(conflicting, StatusCode::CONFLICT).await;
     assert_eq!(reply.head.map(|head| head.revision), Some(1));
     assert_eq!(reply.changes[0].change, ChangeKind::Changed(vec![field]));
 }
 
 #[tokio::test]
-async fn carries_out_a_repeated_request_once() {
-    let platform = start().await;
-    // The object's answer and the row's answer are lost, though both took effect.
+async fn applies_a_repeated_request_once() {
+    let platform = start_platform().await;
+    // The platform stores the object, but the response is lost.
     let lose = PlatformFault { lose_answers: 1, ..PlatformFault::default() };
     platform.hub.platform.set_fault(lose.clone());
-    let first = apply(platform.trial, 0, FIRST, "r1").await;
+    let first = apply(platform.trial, 0, FIRST_DOCUMENT, "r1").await;
     assert_eq!(first.status(), StatusCode::SERVICE_UNAVAILABLE);
-    let again: ApplyReply = read(apply(platform.trial, 0, FIRST, "r1").await, StatusCode::OK).await;
-    let third: ApplyReply = read(apply(platform.trial, 0, FIRST, "r1").await, StatusCode::OK).await;
-    assert_eq!((again.head.revision, third.head), (1, again.head));
+    let repeated: ApplyReply =
+        read_json(apply(platform.trial, 0, FIRST_DOCUMENT, "r1").await, StatusCode::OK).await;
+    let third: ApplyReply =
+        read_json(apply(platform.trial, 0, FIRST_DOCUMENT, "r1").await, StatusCode::OK).await;
+    assert_eq!((repeated.head.revision, third.head), (1, repeated.head));
 }
 
 #[tokio::test]
-async fn promotes_only_what_was_tried() {
-    let platform = start().await;
-    let direct = apply(platform.production, 0, FIRST, "r1").await;
-    let reply: ErrorReply = read(direct, StatusCode::FORBIDDEN).await;
+async fn promotes_only_documents_of_the_source_environment() {
+    let platform = start_platform().await;
+    let direct = apply(platform.production, 0, FIRST_DOCUMENT, "r1").await;
+    let reply: ErrorReply = read_json(direct, StatusCode::FORBIDDEN).await;
     assert_eq!(reply.error, "promotion_only");
-    let tried: ApplyReply = read(apply(platform.trial, 0, FIRST, "r1").await, StatusCode::OK).await;
+    let tried: ApplyReply =
+        read_json(apply(platform.trial, 0, FIRST_DOCUMENT, "r1").await, StatusCode::OK).await;
     let promote = |digest: &str, request: &str| PromoteRequest {
         expected: 0,
         digest: digest.to_owned(),
         request: request.to_owned(),
     };
-    let never = state::credential::sha256_hex(SECOND.as_bytes());
-    let refused = post(platform.production, "/v1/promote", &promote(&never, "p1")).await;
-    let reply: ErrorReply = read(refused, StatusCode::CONFLICT).await;
+    let untried_digest = state::credential::sha256_hex(SECOND_DOCUMENT.as_bytes());
+    let refused =
+        post_json(platform.production, "/v1/promote", &promote(&untried_digest, "p1")).await;
+    let reply: ErrorReply = read_json(refused, StatusCode::CONFLICT).await;
     assert_eq!(reply.error, "never_tried");
     let body = promote(&tried.head.digest, "p2");
     let promoted: ApplyReply =
-        read(post(platform.production, "/v1/promote", &body).await, StatusCode::OK).await;
+        read_json(post_json(platform.production, "/v1/promote", &body).await, StatusCode::OK).await;
     assert_eq!(promoted.head.digest, tried.head.digest);
     let url = format!("http://{}/v1/document", platform.production);
-    let document = Client::new().get(url).bearer_auth(TOKEN).send().await.expect("an answer");
-    let document: api::DocumentReply = read(document, StatusCode::OK).await;
-    assert_eq!(document.text, FIRST, "byte for byte");
+    let document =
+        Client::new().get(url).bearer_auth(OPERATOR_TOKEN).send().await.expect("a response");
+    let document: api::DocumentReply = read_json(document, StatusCode::OK).await;
+    assert_eq!(document.text, FIRST_DOCUMENT, "byte for byte");
 }
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the end-to-end tests share: an environment, connections, waiting.
+//! Helpers of the end-to-end tests: environments, caller connections, fault injection, waiting.
 
 #![allow(dead_code)]
 
@@ -12,18 +12,18 @@
 use tokio_postgres::error::SqlState;
 use tokio_postgres::{AsyncMessage, Client, Config, Error, NoTls};
 
-/// Longest time that a condition is waited for.
-pub const PATIENCE: Duration = Duration::from_secs(15);
+/// Bounds the wait for a condition.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Names each end-to-end case and runs it in an environment of its own.
+/// Declares tests that each run in a new environment with the given number of instances.
 #[macro_export]
-macro_rules! lab_cases {
+macro_rules! lab_tests {
     ($($name:ident($instances:literal);)*) => {
         mod cases {
             $(
                 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
                 async fn $name() {
-                    let environment = super::common::environment($instances).await;
+                    let environment = super::common::start_environment($instances).await;
                     super::$name(environment).await;
                 }
             )*
@@ -32,7 +32,7 @@
 }
 
 /// Starts an environment without emulated delays.
-pub async fn environment(instances: usize) -> LabEnvironment {
+pub async fn start_environment(instances: usize) -> LabEnvironment {
     let profile = DeploymentProfile::from_name(ProfileName::Volksdans);
     let options = LabOptions {
         instances,
@@ -43,17 +43,17 @@
     LabEnvironment::start(options).await.expect("the environment starts")
 }
 
-/// Connection of a caller with the last session token it was told.
+/// Connection of a caller.
 pub struct TestCaller {
     pub client: Client,
     token: std::sync::Arc<std::sync::Mutex<String>>,
 }
 
 impl TestCaller {
-    /// Returns the last session token.
+    /// Returns the current session token.
     pub async fn token(&self) -> String {
-        let row = self.client.simple_query("SHOW hibiscus.session").await.expect("token");
-        for message in row {
+        let messages = self.client.simple_query("SHOW hibiscus.session").await.expect("token");
+        for message in messages {
             if let tokio_postgres::SimpleQueryMessage::Row(row) = message {
                 return row.get(0).unwrap_or_default().to_owned();
             }
@@ -61,8 +61,8 @@
         self.token.lock().expect("token").clone()
     }
 
-    /// Runs statements and returns the first column of every row.
-    pub async fn values(&self, sql: &str) -> Result<Vec<String>, Error> {
+    /// Runs statements by the simple query protocol and returns the first column of every row.
+    pub async fn first_column(&self, sql: &str) -> Result<Vec<String>, Error> {
         let messages = self.client.simple_query(sql).await?;
         let rows = messages.into_iter().filter_map(|message| match message {
             tokio_postgres::SimpleQueryMessage::Row(row) => row.get(0).map(str::to_owned),
@@ -72,13 +72,13 @@
     }
 }
 
-/// Returns the settings of a connection to an instance as the first team.
+/// Returns the connection settings for an instance, as the first team.
 pub fn config(environment: &LabEnvironment, instance: usize) -> Config {
-    config_at(environment, environment.instances[instance].address)
+    config_for_address(environment, environment.instances[instance].address)
 }
 
-/// Returns the settings of a connection to an address as the first team.
-pub fn config_at(environment: &LabEnvironment, address: SocketAddr) -> Config {
+/// Returns the connection settings for an address, as the first team.
+pub fn config_for_address(environment: &LabEnvironment, address: SocketAddr) -> Config {
     let profile = &environment.options.profile;
     let mut config = Config::new();
     config
@@ -91,8 +91,8 @@
     config
 }
 
-/// Opens a connection.
-pub async fn connect_with(config: &Config) -> Result<TestCaller, Error> {
+/// Opens a connection with the given settings.
+pub async fn connect_with_config(config: &Config) -> Result<TestCaller, Error> {
     let (client, mut connection) = config.connect(NoTls).await?;
     let token = std::sync::Arc::new(std::sync::Mutex::new(String::new()));
     tokio::spawn(async move {
@@ -107,25 +107,25 @@
     Ok(TestCaller { client, token })
 }
 
-/// Opens a connection to an instance as the first team.
+/// Opens a connection to an instance, as the first team.
 pub async fn connect(environment: &LabEnvironment, instance: usize) -> TestCaller {
-    connect_with(&config(environment, instance)).await.expect("the caller connects")
+    connect_with_config(&config(environment, instance)).await.expect("the caller connects")
 }
 
-/// Returns the SQLSTATE of an error.
+/// Returns the SQLSTATE of an error; empty if the server reported none.
 pub fn sqlstate(error: &Error) -> String {
     error.code().map(SqlState::code).unwrap_or_default().to_owned()
 }
 
-/// Changes the faults of a member of the first database.
-pub fn fault(environment: &LabEnvironment, member: &str, change: FaultChange) {
+/// Changes the injected faults of a member of the first database.
+pub fn inject_fault(environment: &LabEnvironment, member: &str, change: FaultChange) {
     let database = environment.options.profile.databases[0];
     let group = environment.group(database).expect("the group runs");
     group.member(member).expect("the member exists").change_fault(&change);
 }
 
-/// Returns the name of the primary of the first database, as an instance sees it.
-pub fn primary(environment: &LabEnvironment, instance: usize) -> Option<String> {
+/// Returns the first database's primary in the view of an instance.
+pub fn observed_primary(environment: &LabEnvironment, instance: usize) -> Option<String> {
     let database = environment.options.profile.databases[0];
     let handles = environment.instances[instance].instance.databases();
     let handle = handles.iter().find(|handle| *handle.name == *database)?;
@@ -134,15 +134,15 @@
 }
 
 /// Waits until a condition holds.
-pub async fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+pub async fn wait_for(condition_name: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "waited in vain for: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for {condition_name}");
         sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Waits until the groups' replicas hold what their primary holds.
+/// Waits until the first database's replicas have applied the primary's log.
 pub async fn wait_for_replicas(environment: &LabEnvironment) {
     let database = environment.options.profile.databases[0];
     let group = environment.group(database).expect("the group runs");
--- a/crates/lab/tests/postgres_driver.rs
+++ b/crates/lab/tests/postgres_driver.rs
@@ -1,23 +1,25 @@
-//! The main job through an unmodified driver: book a seat, read it back elsewhere, be refused.
+//! End-to-end tests through an unmodified PostgreSQL driver.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{TestCaller, config, connect, connect_with, sqlstate, wait_for, wait_for_replicas};
+use common::{
+    TestCaller, config, connect, connect_with_config, sqlstate, wait_for, wait_for_replicas,
+};
 use lab::environment::LabEnvironment;
 use tokio::time::sleep;
 use tokio_postgres::SimpleQueryMessage;
 
-lab_cases! {
+lab_tests! {
     books_a_seat_and_reads_it_on_another_proxy(3);
-    refuses_wrong_key_team_and_database(1);
-    serves_reads_of_a_stated_age_from_replicas(1);
+    rejects_wrong_key_team_and_database(1);
+    serves_bounded_staleness_reads_from_replicas(1);
     keeps_prepared_statements_across_pooled_connections(2);
     runs_several_statements_in_one_text(1);
     rolls_back_and_reports_errors(1);
-    refuses_what_it_does_not_offer(1);
-    lets_callers_without_a_key_use_open_routes_only(1);
+    rejects_unsupported_statements(1);
+    allows_only_open_routes_without_a_key(1);
     streams_a_large_result(1);
     cancels_a_running_statement(1);
     reads_own_writes_while_replicas_lag(2);
@@ -56,9 +58,9 @@
     transaction.commit().await.expect("commit");
 
     let token = first.token().await;
-    let mut roaming = config(&environment, 1);
-    roaming.options(format!("-c hibiscus.session={token}"));
-    let second = connect_with(&roaming).await.expect("roam");
+    let mut with_token = config(&environment, 1);
+    with_token.options(format!("-c hibiscus.session={token}"));
+    let second = connect_with_config(&with_token).await.expect("connect with the session token");
     let row = second
         .client
         .query_one("SELECT taken_by FROM seats WHERE id = $1", &[&1_i32])
@@ -73,13 +75,13 @@
         .batch_execute(&format!("SET hibiscus.session = '{token}'"))
         .await
         .expect("the token is accepted");
-    let found = third.values("SELECT taken_by FROM seats WHERE id = 1").await.expect("read");
+    let found = third.first_column("SELECT taken_by FROM seats WHERE id = 1").await.expect("read");
     assert_eq!(found, ["anna"]);
     let broken = third.client.batch_execute("SET hibiscus.session = 'AAAA'").await;
     assert_eq!(sqlstate(&broken.expect_err("a broken token is refused")), "22023");
 }
 
-async fn refuses_wrong_key_team_and_database(environment: LabEnvironment) {
+async fn rejects_wrong_key_team_and_database(environment: LabEnvironment) {
     let good = config(&environment, 0);
     let mut wrong_key = good.clone();
     wrong_key.password("not the key");
@@ -89,16 +91,16 @@
     wrong_database.dbname("nothing");
     for (config, state) in [(wrong_key, "28P01"), (wrong_team, "28000"), (wrong_database, "3D000")]
     {
-        let error = connect_with(&config).await.err().expect("the caller is refused");
+        let error = connect_with_config(&config).await.err().expect("the caller is refused");
         assert_eq!(sqlstate(&error), state);
         let text = format!("{error:?}");
         assert!(text.contains("not run"), "{text}");
         assert!(!text.contains("not the key"), "{text}");
     }
-    connect_with(&good).await.expect("other callers are served");
+    connect_with_config(&good).await.expect("other callers are served");
 }
 
-async fn serves_reads_of_a_stated_age_from_replicas(environment: LabEnvironment) {
+async fn serves_bounded_staleness_reads_from_replicas(environment: LabEnvironment) {
     let caller = connect(&environment, 0).await;
     create_seats(&caller).await;
     wait_for_replicas(&environment).await;
@@ -123,7 +125,7 @@
         .prepare("SELECT id FROM seats WHERE id >= $1 ORDER BY id")
         .await
         .expect("prepare");
-    let others: Vec<TestCaller> = futures_of(6, || connect(&environment, 0)).await;
+    let others: Vec<TestCaller> = repeat_async(6, || connect(&environment, 0)).await;
     for round in 0..20 {
         for other in &others {
             other.client.batch_execute("SELECT id FROM seats WHERE id = 1").await.expect("read");
@@ -133,12 +135,12 @@
     }
 }
 
-async fn futures_of<T, F: Future<Output = T>>(count: usize, make: impl Fn() -> F) -> Vec<T> {
-    let mut made = Vec::new();
+async fn repeat_async<T, F: Future<Output = T>>(count: usize, create: impl Fn() -> F) -> Vec<T> {
+    let mut results = Vec::new();
     for _ in 0..count {
-        made.push(make().await);
+        results.push(create().await);
     }
-    made
+    results
 }
 
 async fn runs_several_statements_in_one_text(environment: LabEnvironment) {
@@ -155,10 +157,10 @@
         .client
         .simple_query("UPDATE seats SET hall = 'b'; INSERT INTO seats VALUES (1, 'x', NULL)")
         .await;
-    assert_eq!(sqlstate(&failed.expect_err("the key stands twice")), "23505");
-    let halls = caller.values("SELECT DISTINCT hall FROM seats").await.expect("read");
+    assert_eq!(sqlstate(&failed.expect_err("the key already exists")), "23505");
+    let halls = caller.first_column("SELECT DISTINCT hall FROM seats").await.expect("read");
     assert_eq!(halls, ["a"], "one text is one transaction");
-    assert!(caller.values("").await.expect("an empty query is fine").is_empty());
+    assert!(caller.first_column("").await.expect("an empty query is fine").is_empty());
 }
 
 async fn rolls_back_and_reports_errors(environment: LabEnvironment) {
@@ -169,15 +171,15 @@
     let transaction = caller.client.transaction().await.expect("begin");
     transaction.execute("UPDATE seats SET hall = 'lost'", &[]).await.expect("write");
     let error = transaction.execute("INSERT INTO seats VALUES (1, 'x', NULL)", &[]).await;
-    assert_eq!(sqlstate(&error.expect_err("the key stands twice")), "23505");
-    let error = transaction.query("SELECT 1", &[]).await.expect_err("the block is aborted");
+    assert_eq!(sqlstate(&error.expect_err("the key already exists")), "23505");
+    let error = transaction.query("SELECT 1", &[]).await.expect_err("the transaction is aborted");
     assert_eq!(sqlstate(&error), "25P02");
     transaction.rollback().await.expect("rollback");
-    let halls = caller.values("SELECT DISTINCT hall FROM seats").await.expect("read");
+    let halls = caller.first_column("SELECT DISTINCT hall FROM seats").await.expect("read");
     assert_eq!(halls, ["parish"]);
 }
 
-async fn refuses_what_it_does_not_offer(environment: LabEnvironment) {
+async fn rejects_unsupported_statements(environment: LabEnvironment) {
     let caller = connect(&environment, 0).await;
     create_seats(&caller).await;
     for sql in ["COPY seats FROM STDIN", "LISTEN news", "CREATE TEMP TABLE t (a int)"] {
@@ -187,21 +189,21 @@
         assert!(text.contains("not run"), "{text}");
     }
     caller.client.batch_execute("SET application_name = 'tour'").await.expect("set");
-    assert_eq!(caller.values("SHOW application_name").await.expect("show"), ["tour"]);
+    assert_eq!(caller.first_column("SHOW application_name").await.expect("show"), ["tour"]);
     let error = caller.client.batch_execute("SET search_path = 'x'").await.expect_err("refused");
     assert_eq!(sqlstate(&error), "0A000");
-    assert_eq!(caller.values("SELECT count(*) FROM seats").await.expect("read"), ["3"]);
+    assert_eq!(caller.first_column("SELECT count(*) FROM seats").await.expect("read"), ["3"]);
 }
 
-async fn lets_callers_without_a_key_use_open_routes_only(environment: LabEnvironment) {
+async fn allows_only_open_routes_without_a_key(environment: LabEnvironment) {
     let caller = connect(&environment, 0).await;
     create_seats(&caller).await;
     caller.client.batch_execute("CREATE TABLE notices (text text)").await.expect("create");
     caller.client.batch_execute("INSERT INTO notices VALUES ('open')").await.expect("insert");
     let mut open = config(&environment, 0);
     open.user("open").password("");
-    let open = connect_with(&open).await.expect("no key is asked for");
-    assert_eq!(open.values("SELECT text FROM notices").await.expect("open route"), ["open"]);
+    let open = connect_with_config(&open).await.expect("no key is required");
+    assert_eq!(open.first_column("SELECT text FROM notices").await.expect("open route"), ["open"]);
     for sql in ["SELECT id FROM seats", "INSERT INTO notices VALUES ('x')", "BEGIN"] {
         let error = open.client.simple_query(sql).await.expect_err("closed route");
         assert_eq!(sqlstate(&error), "42501", "{sql}");
@@ -224,7 +226,7 @@
     assert!(rows.iter().all(|row| row.get::<_, &str>(1).len() == body.len()));
     let sql = "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n WHERE i < 200000) \
                SELECT i, 'a long enough text to fill many buffers' FROM n";
-    assert_eq!(caller.values(sql).await.expect("read").len(), 200_000);
+    assert_eq!(caller.first_column(sql).await.expect("read").len(), 200_000);
 }
 
 async fn cancels_a_running_statement(environment: LabEnvironment) {
@@ -237,7 +239,7 @@
     let error = caller.client.simple_query("SELECT pg_sleep(4)").await.expect_err("cancelled");
     assert_eq!(sqlstate(&error), "57014");
     task.await.expect("task").expect("the cancel request is sent");
-    assert_eq!(caller.values("SELECT 1").await.expect("the session goes on"), ["1"]);
+    assert_eq!(caller.first_column("SELECT 1").await.expect("the session continues"), ["1"]);
 }
 
 async fn reads_own_writes_while_replicas_lag(environment: LabEnvironment) {
@@ -246,7 +248,7 @@
     wait_for_replicas(&environment).await;
     let lag = standin::fault::FaultChange { lag_ms: Some(300), ..Default::default() };
     for member in ["leuven", "brugge"] {
-        common::fault(&environment, member, lag.clone());
+        common::inject_fault(&environment, member, lag.clone());
     }
     for round in 0..30 {
         let name = format!("guest {round}");
@@ -255,16 +257,22 @@
             .execute("UPDATE seats SET taken_by = $1 WHERE id = 1", &[&name])
             .await
             .expect("write");
-        let found = caller.values("SELECT taken_by FROM seats WHERE id = 1").await.expect("read");
+        let found =
+            caller.first_column("SELECT taken_by FROM seats WHERE id = 1").await.expect("read");
         assert_eq!(found, std::slice::from_ref(&name));
-        let mut roaming = config(&environment, 1);
-        roaming.options(format!("-c hibiscus.session={}", caller.token().await));
-        let roaming = connect_with(&roaming).await.expect("roam");
-        let found = roaming.values("SELECT taken_by FROM seats WHERE id = 1").await.expect("read");
+        let mut with_token = config(&environment, 1);
+        with_token.options(format!("-c hibiscus.session={}", caller.token().await));
+        let with_token =
+            connect_with_config(&with_token).await.expect("connect with the session token");
+        let found =
+            with_token.first_column("SELECT taken_by FROM seats WHERE id = 1").await.expect("read");
         assert_eq!(found, std::slice::from_ref(&name));
-        // Without a token the barrier protects the caller.
-        let fresh = connect(&environment, 1).await;
-        let found = fresh.values("SELECT taken_by FROM seats WHERE id = 1").await.expect("read");
+        // Without a token, the primary confirms its leadership before it serves the read.
+        let without_token = connect(&environment, 1).await;
+        let found = without_token
+            .first_column("SELECT taken_by FROM seats WHERE id = 1")
+            .await
+            .expect("read");
         assert_eq!(found, [name]);
     }
     wait_for("nothing", || true).await;
@@ -276,7 +284,7 @@
     let transaction = caller.client.transaction().await.expect("begin");
     let portal = transaction.bind("SELECT id FROM seats ORDER BY id", &[]).await.expect("bind");
     let first = transaction.query_portal(&portal, 2).await.expect("two rows");
-    let rest = transaction.query_portal(&portal, 2).await.expect("one row");
-    assert_eq!((first.len(), rest.len()), (2, 1));
+    let second = transaction.query_portal(&portal, 2).await.expect("one row");
+    assert_eq!((first.len(), second.len()), (2, 1));
     transaction.commit().await.expect("commit");
 }
