--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers of a workload: what they send, where they go, what they are told.
+//! Callers of a workload: they connect, send requests at a rate and count the outcomes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -15,128 +15,133 @@
 
 use crate::report;
 
-/// Mean number of requests after which a caller reconnects, perhaps elsewhere.
-const ROAM_AFTER: u32 = 200;
-/// Rows of the table that callers browse.
+/// Mean number of requests after which a caller reconnects, to a random database and instance.
+const MEAN_REQUESTS_PER_CONNECTION: u32 = 200;
+/// Number of rows in the browsed table.
 pub const BROWSE_ROWS: i32 = 200;
-/// Part of the requests that browse.
-const BROWSE_PART: f64 = 0.8;
-/// Time that a request may take before its caller gives up and reconnects.
-pub const CALLER_PATIENCE: Duration = Duration::from_secs(10);
+/// Fraction of requests that read the browsed table; the others insert a booking.
+const BROWSE_FRACTION: f64 = 0.8;
+/// Bounds a request; the caller reconnects when it expires.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What happened to one team.
+/// Request outcomes of one team.
 #[derive(Debug)]
-pub struct TeamTally {
-    /// Requests carried out.
+pub struct TeamCounts {
+    /// Number of successful requests.
     pub answered: u64,
-    /// Requests refused as not run, or without a connection.
+    /// Number of requests that were refused as not run or had no connection.
     pub refused: u64,
-    /// Requests whose outcome is not known.
+    /// Number of requests whose outcome is unknown.
     pub unknown: u64,
-    /// Times of requests carried out, in microseconds.
+    /// Latencies of successful requests in microseconds.
     pub latencies: Histogram<u64>,
-    /// SQLSTATEs of the others.
-    pub reasons: BTreeMap<String, u64>,
-    /// Reads of an own write.
-    pub reads: u64,
-    /// Those that missed it.
-    pub stale_reads: u64,
+    /// Number of errors by SQLSTATE; `lost` if the server reported none.
+    pub error_codes: BTreeMap<String, u64>,
+    /// Number of reads that checked a write of the same session.
+    pub own_write_reads: u64,
+    /// Number of those reads that did not return the write.
+    pub own_writes_missed: u64,
 }
 
-impl Default for TeamTally {
+impl Default for TeamCounts {
     fn default() -> Self {
         Self {
             answered: 0,
             refused: 0,
             unknown: 0,
-            latencies: report::histogram(),
-            reasons: BTreeMap::new(),
-            reads: 0,
-            stale_reads: 0,
+            latencies: report::latency_histogram(),
+            error_codes: BTreeMap::new(),
+            own_write_reads: 0,
+            own_writes_missed: 0,
         }
     }
 }
 
-/// What every caller of a run shares.
+/// State that the callers of a run share.
 pub struct RunContext {
-    /// Sizes of the deployment.
+    /// Profile of the deployment.
     pub profile: DeploymentProfile,
-    /// Keys of the teams.
+    /// API keys of the teams.
     pub keys: Vec<String>,
-    /// Addresses by database.
+    /// Addresses to connect to, by database.
     pub addresses: Vec<Vec<SocketAddr>>,
-    /// What happened to each team.
-    pub tallies: Vec<Mutex<TeamTally>>,
-    /// When the run ends.
+    /// Request outcomes by team.
+    pub team_counts: Vec<Mutex<TeamCounts>>,
+    /// End of the run.
     pub end: Instant,
 }
 
-/// Open connection of a caller.
-struct OpenCaller {
+/// Connection of a caller to a database.
+struct CallerConnection {
     client: Client,
     database: usize,
 }
 
-/// Sends requests at a rate until the run ends, roaming now and then.
-pub async fn call(context: Arc<RunContext>, team: usize, seed: u64, rate: f64) {
+/// Sends `rate` requests per second until the run ends; reconnects at random.
+pub async fn run_caller(context: Arc<RunContext>, team: usize, seed: u64, rate: f64) {
     let mut random = StdRng::seed_from_u64(seed);
-    let mut open: Option<OpenCaller> = None;
-    let mut token: HashMap<usize, String> = HashMap::new();
-    let pause = Duration::from_secs_f64(1.0 / rate);
-    let mut next = Instant::now() + pause.mul_f64(random.random::<f64>());
-    let mut number = 0_u64;
-    while next < context.end {
-        sleep_until(next.into()).await;
-        next += pause;
-        number += 1;
-        if random.random_range(0..ROAM_AFTER) == 0 {
-            remember_token(&open, &mut token).await;
-            open = None;
+    let mut connection: Option<CallerConnection> = None;
+    let mut tokens: HashMap<usize, String> = HashMap::new();
+    let interval = Duration::from_secs_f64(1.0 / rate);
+    let mut next_send = Instant::now() + interval.mul_f64(random.random::<f64>());
+    let mut request_number = 0_u64;
+    while next_send < context.end {
+        sleep_until(next_send.into()).await;
+        next_send += interval;
+        request_number += 1;
+        if random.random_range(0..MEAN_REQUESTS_PER_CONNECTION) == 0 {
+            store_session_token(&connection, &mut tokens).await;
+            connection = None;
         }
-        if open.is_none() {
-            open = reconnect(&context, team, &mut random, &token).await;
+        if connection.is_none() {
+            connection = reconnect(&context, team, &mut random, &tokens).await;
         }
-        let Some(current) = &open else {
-            context.tallies[team].lock().refused += 1;
+        let Some(open_connection) = &connection else {
+            context.team_counts[team].lock().refused += 1;
             continue;
         };
-        let id = (seed << 32) + number;
-        let browse = random.random::<f64>() < BROWSE_PART;
+        let id = (seed << 32) + request_number;
+        let is_browse = random.random::<f64>() < BROWSE_FRACTION;
         let row = random.random_range(0..BROWSE_ROWS);
-        if !request(&context, team, current, browse, row, id).await {
-            open = None;
+        if !send_request(&context, team, open_connection, is_browse, row, id).await {
+            connection = None;
         }
     }
 }
 
-async fn remember_token(open: &Option<OpenCaller>, token: &mut HashMap<usize, String>) {
-    let Some(current) = open else {
+/// Stores the session token of a connection, for the next connection to its database.
+async fn store_session_token(
+    connection: &Option<CallerConnection>,
+    tokens: &mut HashMap<usize, String>,
+) {
+    let Some(open_connection) = connection else {
         return;
     };
-    let Ok(messages) = current.client.simple_query("SHOW hibiscus.session").await else {
+    let Ok(messages) = open_connection.client.simple_query("SHOW hibiscus.session").await else {
         return;
     };
     for message in messages {
         if let tokio_postgres::SimpleQueryMessage::Row(row) = message {
-            token.insert(current.database, row.get(0).unwrap_or_default().to_owned());
+            tokens.insert(open_connection.database, row.get(0).unwrap_or_default().to_owned());
         }
     }
 }
 
+/// Connects to a random database and instance; returns `None` on failure.
 async fn reconnect(
     context: &RunContext,
     team: usize,
     random: &mut StdRng,
-    token: &HashMap<usize, String>,
-) -> Option<OpenCaller> {
+    tokens: &HashMap<usize, String>,
+) -> Option<CallerConnection> {
     let database = random.random_range(0..context.addresses.len());
     let choices = &context.addresses[database];
     let address = choices[random.random_range(0..choices.len())];
     let (name, key) = (context.profile.teams[team].name, &context.keys[team]);
     let database_name = context.profile.databases[database];
-    let token = token.get(&database).map(String::as_str);
+    let token = tokens.get(&database).map(String::as_str);
     let client = connect(address, name, key, database_name, token).await.ok()?;
-    Some(OpenCaller { client, database })
+    Some(CallerConnection { client, database })
 }
 
 /// Opens a connection, with a session token if there is one.
@@ -154,7 +159,7 @@
         .user(team)
         .password(key)
         .dbname(database)
-        .connect_timeout(CALLER_PATIENCE);
+        .connect_timeout(REQUEST_TIMEOUT);
     if let Some(token) = token {
         config.options(format!("-c hibiscus.session={token}"));
     }
@@ -163,69 +168,76 @@
     Ok(client)
 }
 
-/// Sends one request; false if the connection is of no more use.
-async fn request(
+/// Sends one request; returns `false` if the connection must be replaced.
+async fn send_request(
     context: &RunContext,
     team: usize,
-    open: &OpenCaller,
-    browse: bool,
+    connection: &CallerConnection,
+    is_browse: bool,
     row: i32,
     id: u64,
 ) -> bool {
     let table = context.profile.browse_table;
-    let sql = if browse {
+    let sql = if is_browse {
         format!("SELECT id, state FROM {table} WHERE id >= {row} AND id < {row} + 10")
     } else {
         format!("INSERT INTO bookings VALUES ({id}, '{}')", context.profile.teams[team].name)
     };
-    let begin = Instant::now();
-    let answer = tokio::time::timeout(CALLER_PATIENCE, open.client.simple_query(&sql)).await;
-    let time = begin.elapsed();
-    if !note_answer(&mut context.tallies[team].lock(), &answer, time) {
-        return answer.is_ok_and(|answer| answer.is_err_and(|error| !error.is_closed()));
+    let start = Instant::now();
+    let response =
+        tokio::time::timeout(REQUEST_TIMEOUT, connection.client.simple_query(&sql)).await;
+    let elapsed = start.elapsed();
+    if !record_response(&mut context.team_counts[team].lock(), &response, elapsed) {
+        return response.is_ok_and(|response| response.is_err_and(|error| !error.is_closed()));
     }
-    if !browse {
-        check_own_write(context, team, open, id).await;
+    if !is_browse {
+        check_own_write(context, team, connection, id).await;
     }
     true
 }
 
-/// Counts an answer and tells whether the request was carried out.
-fn note_answer<T, E>(
-    tally: &mut TeamTally,
-    answer: &Result<Result<T, tokio_postgres::Error>, E>,
-    time: Duration,
+/// Counts a response and returns whether the request succeeded.
+fn record_response<T, E>(
+    counts: &mut TeamCounts,
+    response: &Result<Result<T, tokio_postgres::Error>, E>,
+    elapsed: Duration,
 ) -> bool {
-    match answer {
+    match response {
         Ok(Ok(_)) => {
-            tally.answered += 1;
-            tally.latencies.saturating_record(time.as_micros() as u64);
+            counts.answered += 1;
+            counts.latencies.saturating_record(elapsed.as_micros() as u64);
             return true;
         }
         Ok(Err(error)) => {
             let state = error.code().map_or("lost", |code| code.code());
-            *tally.reasons.entry(state.to_owned()).or_default() += 1;
+            *counts.error_codes.entry(state.to_owned()).or_default() += 1;
             let not_run = error.as_db_error().is_some_and(|e| e.message().starts_with("not run"));
             if not_run {
-                tally.refused += 1;
+                counts.refused += 1;
             } else {
-                tally.unknown += 1;
+                counts.unknown += 1;
             }
         }
-        Err(_) => tally.unknown += 1,
+        Err(_) => counts.unknown += 1,
     }
     false
 }
 
-async fn check_own_write(context: &RunContext, team: usize, open: &OpenCaller, id: u64) {
+/// Reads a write back on its session and counts whether it is visible.
+async fn check_own_write(
+    context: &RunContext,
+    team: usize,
+    connection: &CallerConnection,
+    id: u64,
+) {
     let sql = format!("SELECT count(*) FROM bookings WHERE id = {id}");
-    let Ok(messages) = open.client.simple_query(&sql).await else {
+    let Ok(messages) = connection.client.simple_query(&sql).await else {
         return;
     };
     let found = messages.iter().any(|message| {
         matches!(message, tokio_postgres::SimpleQueryMessage::Row(row) if row.get(0) == Some("1"))
     });
-    let mut tally = context.tallies[team].lock();
-    tally.reads += 1;
-    tally.stale_reads += u64::from(!found);
+    let mut counts = context.team_counts[team].lock();
+    counts.own_write_reads += 1;
+    counts.own_writes_missed += u64::from(!found);
 }
--- a/crates/load/src/capacity.rs
+++ b/crates/load/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Slopes of memory and processor time, from which docs/CAPACITY.md is worked out.
+//! Measures how memory and CPU time grow with size, as the input of docs/CAPACITY.md.
 
 use std::fmt::Write as _;
 use std::time::{Duration, Instant};
@@ -20,17 +20,17 @@
 use crate::report::{self, LoadError};
 use crate::resource_usage;
 
-/// Name of the threads whose control work is measured.
-const CONTROL_THREADS: &str = "hb-control";
+/// Name of the proxies' threads, by which their CPU time is found.
+const CONTROL_THREAD_NAME: &str = "hb-control";
 
-/// One measured point.
+/// Measured value at one size.
 #[derive(Debug, Serialize)]
 struct SlopePoint {
     size: f64,
     value: f64,
 }
 
-/// Straight line through measured points.
+/// Line fitted to the measured points.
 #[derive(Debug, Serialize)]
 struct MeasuredSlope {
     name: &'static str,
@@ -38,35 +38,45 @@
     points: Vec<SlopePoint>,
     slope: f64,
     offset: f64,
-    /// Largest distance of a point from the line, as a part of the largest value.
+    /// Largest distance of a point from the line, as a fraction of the largest value.
     residual: f64,
 }
 
-/// Runs the measurement.
+/// Runs the measurements and prints their report.
 pub fn run(options: &CapacityOptions, json: bool) -> Result<(), LoadError> {
     let time = Duration::from_secs(options.seconds) / 4;
     let mut slopes = vec![
-        slope("document memory", "bytes", &[1_000.0, 4_000.0, 16_000.0], catalog_bytes),
-        slope("document in force", "us", &[1_000.0, 4_000.0, 16_000.0], catalog_time),
-        slope("failover tick of all databases", "us", &[4.0, 16.0, 64.0], |size| {
-            failover_time(size, time)
+        measure_slope(
+            "document memory",
+            "bytes",
+            &[1_000.0, 4_000.0, 16_000.0],
+            measure_catalog_memory,
+        ),
+        measure_slope(
+            "document in force",
+            "us",
+            &[1_000.0, 4_000.0, 16_000.0],
+            measure_catalog_update,
+        ),
+        measure_slope("failover tick of all databases", "us", &[4.0, 16.0, 64.0], |size| {
+            measure_failover_tick(size, time)
         }),
-        slope("ledger beat of all teams", "us", &[8.0, 64.0, 256.0], |size| {
-            ledger_time(size, time)
+        measure_slope("ledger heartbeat of all teams", "us", &[8.0, 64.0, 256.0], |size| {
+            measure_ledger_heartbeat(size, time)
         }),
     ];
-    slopes.push(slope("heartbeat", "bytes", &[8.0, 64.0, 256.0], beat_bytes));
+    slopes.push(measure_slope("heartbeat", "bytes", &[8.0, 64.0, 256.0], measure_heartbeat_bytes));
     let mut control = Vec::new();
     for instances in [3, 6, 12] {
-        let value = control_time(instances, Duration::from_secs(options.seconds))?;
+        let value = measure_control_cpu(instances, Duration::from_secs(options.seconds))?;
         control.push(SlopePoint { size: instances as f64, value });
     }
-    slopes.push(fit("control of one instance by peers", "us a second", control));
-    let text = describe(&slopes);
-    report::print(&slopes, json, text)
+    slopes.push(fit_line("control of one instance by peers", "us per second", control));
+    let text = format_report(&slopes);
+    report::print_report(&slopes, json, text)
 }
 
-fn slope(
+fn measure_slope(
     name: &'static str,
     unit: &'static str,
     sizes: &[f64],
@@ -76,11 +86,11 @@
         .iter()
         .map(|size| SlopePoint { size: *size, value: measure(*size as usize) })
         .collect();
-    fit(name, unit, points)
+    fit_line(name, unit, points)
 }
 
-/// Lays the line with the least squares through the points.
-fn fit(name: &'static str, unit: &'static str, points: Vec<SlopePoint>) -> MeasuredSlope {
+/// Fits a line to the points by least squares.
+fn fit_line(name: &'static str, unit: &'static str, points: Vec<SlopePoint>) -> MeasuredSlope {
     let count = points.len() as f64;
     let mean_size = points.iter().map(|point| point.size).sum::<f64>() / count;
     let mean_value = points.iter().map(|point| point.value).sum::<f64>() / count;
@@ -96,7 +106,7 @@
 }
 
 /// Builds a document with `size` databases and as many teams.
-fn document(size: usize) -> Document {
+fn build_document(size: usize) -> Document {
     let team =
         |number: usize| TeamSection { name: format!("team-{number}"), ..TeamSection::default() };
     let database = |number: usize| DatabaseSection {
@@ -112,26 +122,29 @@
     }
 }
 
-fn catalog_bytes(size: usize) -> f64 {
-    let document = document(size);
+/// Returns the bytes of a catalog of `size` databases and teams.
+fn measure_catalog_memory(size: usize) -> f64 {
+    let document = build_document(size);
     let before = resource_usage::resident_bytes();
     let catalogs: Vec<DocumentCatalog> =
         (1..=4).map(|revision| DocumentCatalog::default().updated(revision, &document)).collect();
-    let grown = resource_usage::resident_bytes().saturating_sub(before);
-    grown as f64 / catalogs.len() as f64
+    let growth = resource_usage::resident_bytes().saturating_sub(before);
+    growth as f64 / catalogs.len() as f64
 }
 
-fn catalog_time(size: usize) -> f64 {
-    let text_document = document(size);
-    let catalog = DocumentCatalog::default().updated(1, &text_document);
-    let begin = Instant::now();
-    let next = catalog.updated(2, &text_document);
-    let time = begin.elapsed().as_secs_f64() * 1e6;
+/// Returns the microseconds in which an unchanged document replaces a catalog.
+fn measure_catalog_update(size: usize) -> f64 {
+    let document = build_document(size);
+    let catalog = DocumentCatalog::default().updated(1, &document);
+    let start = Instant::now();
+    let next = catalog.updated(2, &document);
+    let time = start.elapsed().as_secs_f64() * 1e6;
     assert_eq!(next.revision(), 2);
     time
 }
 
-fn failover_time(databases: usize, time: Duration) -> f64 {
+/// Returns the microseconds in which the failover machines handle one heartbeat round.
+fn measure_failover_tick(databases: usize, time: Duration) -> f64 {
     let status = |role, index| MemberStatus {
         position: MemberPosition { role, term: 1, applied: index, term_start: 0 },
         promised: 1,
@@ -141,7 +154,7 @@
     };
     let mut machines: Vec<FailoverMachine> =
         (0..databases).map(|_| FailoverMachine::new(3)).collect();
-    repeat(time, |round| {
+    mean_round_time_us(time, |round| {
         let now = Instant::now();
         for machine in &mut machines {
             machine.handle(FailoverEvent::Status(0, status(MemberRole::Primary, round)), now);
@@ -152,13 +165,14 @@
     })
 }
 
-fn ledger_time(teams: usize, time: Duration) -> f64 {
+/// Returns the microseconds in which the ledger handles the heartbeat of one peer.
+fn measure_ledger_heartbeat(teams: usize, time: Duration) -> f64 {
     let mut keys: SlotMap<TeamId, ()> = SlotMap::with_key();
     let keys: Vec<TeamId> = (0..teams).map(|_| keys.insert(())).collect();
     let mut ledger = ShareLedger::default();
     ledger.enter_epoch(1);
     keys.iter().for_each(|key| ledger.issue(*key, FULL_SHARE / 2));
-    repeat(time, |round| {
+    mean_round_time_us(time, |round| {
         for key in &keys {
             let totals = TransferTotals { share: round % 1_000, tokens: 0.0 };
             ledger.receive_grant(*key, 7, 1, totals);
@@ -169,7 +183,8 @@
     })
 }
 
-fn beat_bytes(teams: usize) -> f64 {
+/// Returns the encoded size of a heartbeat request.
+fn measure_heartbeat_bytes(teams: usize) -> f64 {
     let share = |number: usize| TeamShare {
         team: format!("team-{number}"),
         share: FULL_SHARE / 9,
@@ -193,12 +208,12 @@
     request.encoded_len() as f64
 }
 
-/// Returns the processor time that one idle instance takes each second, in microseconds.
-fn control_time(instances: usize, time: Duration) -> Result<f64, LoadError> {
+/// Returns the CPU time of one idle instance in microseconds per second.
+fn measure_control_cpu(instances: usize, time: Duration) -> Result<f64, LoadError> {
     let build = |name: &str| {
         Builder::new_multi_thread().worker_threads(2).thread_name(name).enable_all().build()
     };
-    let (proxy, standin) = (build(CONTROL_THREADS)?, build("hb-standin")?);
+    let (proxy, standin) = (build(CONTROL_THREAD_NAME)?, build("hb-standin")?);
     let lab = LabOptions {
         instances,
         emulate_delays: false,
@@ -207,27 +222,27 @@
     };
     let environment = standin.block_on(LabEnvironment::start(lab))?;
     std::thread::sleep(Duration::from_secs(1));
-    let before = resource_usage::thread_cpu_time(CONTROL_THREADS);
+    let before = resource_usage::thread_cpu_time(CONTROL_THREAD_NAME);
     std::thread::sleep(time);
-    let used = resource_usage::thread_cpu_time(CONTROL_THREADS) - before;
+    let cpu_time = resource_usage::thread_cpu_time(CONTROL_THREAD_NAME) - before;
     drop(environment);
     proxy.shutdown_background();
     standin.shutdown_background();
-    Ok(used.as_secs_f64() * 1e6 / time.as_secs_f64() / instances as f64)
+    Ok(cpu_time.as_secs_f64() * 1e6 / time.as_secs_f64() / instances as f64)
 }
 
-/// Returns the microseconds that one round takes.
-fn repeat(time: Duration, mut round: impl FnMut(u64)) -> f64 {
-    let begin = Instant::now();
+/// Runs rounds for `time` and returns the mean time of one in microseconds.
+fn mean_round_time_us(time: Duration, mut round: impl FnMut(u64)) -> f64 {
+    let start = Instant::now();
     let mut rounds = 0;
-    while begin.elapsed() < time {
+    while start.elapsed() < time {
         rounds += 1;
         round(rounds);
     }
-    begin.elapsed().as_secs_f64() * 1e6 / rounds as f64
+    start.elapsed().as_secs_f64() * 1e6 / rounds as f64
 }
 
-fn describe(slopes: &[MeasuredSlope]) -> String {
+fn format_report(slopes: &[MeasuredSlope]) -> String {
     let mut text = String::new();
     for slope in slopes {
         let points: Vec<String> =
--- a/crates/load/src/cli.rs
+++ b/crates/load/src/cli.rs
@@ -1,4 +1,4 @@
-//! Command line.
+//! Command line arguments.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use lab::profile::ProfileName;
 use telemetry::logging::LoggingSettings;
 
-/// Seeded load and experiments against an environment in this process.
+/// Generates seeded load and runs measurements against an environment in this process.
 #[derive(Debug, Parser)]
 #[command(name = "hibiscus-load", version)]
 pub struct LoadArguments {
@@ -19,20 +19,20 @@
     pub command: LoadCommand,
 }
 
-/// Experiment.
+/// Measurement or test to run.
 #[derive(Debug, Subcommand)]
 pub enum LoadCommand {
-    /// Compares direct, naive and proxied access: latency, throughput, processor time, memory.
+    /// Compares direct, naive and proxied access: latency, throughput, CPU time, memory.
     Overhead(OverheadOptions),
-    /// Runs a deployment's workload with a fault and reports the measures of the brief.
+    /// Runs a deployment's workload with an optional fault; reports availability and latency.
     Profile(ProfileOptions),
-    /// Measures the slopes that docs/CAPACITY.md rests on.
+    /// Measures how memory and CPU time grow with size, as the input of docs/CAPACITY.md.
     Capacity(CapacityOptions),
-    /// Plays random faults against instances as processes and checks promises.
+    /// Runs instances as processes under random faults and checks invariants.
     Soak(SoakOptions),
 }
 
-/// Options of the soak.
+/// Options of the soak test.
 #[derive(Args, Clone, Debug)]
 pub struct SoakOptions {
     /// First seed.
@@ -41,59 +41,59 @@
     /// Number of seeds.
     #[arg(long, default_value_t = 1)]
     pub seeds: u64,
-    /// Seeds played at a time.
+    /// Number of seeds to run concurrently.
     #[arg(long, default_value_t = 1)]
     pub jobs: usize,
-    /// Seconds during which faults begin.
+    /// Seconds during which faults start.
     #[arg(long, default_value_t = 15)]
     pub seconds: u64,
-    /// Instances.
+    /// Number of instances.
     #[arg(long, default_value_t = 3)]
     pub instances: usize,
-    /// Callers.
+    /// Number of callers.
     #[arg(long, default_value_t = 8)]
     pub callers: u32,
-    /// Program of an instance; absent means the one beside this program.
+    /// Program of an instance; by default `hibiscus-gateway` in the folder of this program.
     #[arg(long)]
     pub program: Option<std::path::PathBuf>,
-    /// Folder for the settings and logs of seeds that failed.
+    /// Folder for settings and logs; those of failed seeds are kept.
     #[arg(long, default_value = "target/soak")]
     pub folder: std::path::PathBuf,
 }
 
-/// Options of the comparison.
+/// Options of the overhead comparison.
 #[derive(Args, Debug)]
 pub struct OverheadOptions {
-    /// Seconds for each point.
+    /// Seconds for each measured point.
     #[arg(long, default_value_t = 4)]
     pub seconds: u64,
-    /// Numbers of callers.
+    /// Numbers of concurrent callers to measure.
     #[arg(long, value_delimiter = ',', default_values_t = [1, 16, 256])]
     pub callers: Vec<usize>,
-    /// Worker threads of the proxy.
+    /// Number of worker threads of the proxy.
     #[arg(long, default_value_t = 2)]
     pub proxy_threads: usize,
-    /// Idle callers whose memory is measured.
+    /// Number of idle callers whose memory is measured.
     #[arg(long, default_value_t = 8_000)]
     pub idle: usize,
 }
 
-/// Fault of a run.
+/// Fault that is injected into a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub enum FaultKind {
     /// No fault.
     None,
-    /// The first database's primary is cut off from its group.
+    /// The first database's primary is partitioned from its group.
     Cut,
     /// The first database's primary stops.
     Stop,
-    /// The first database's primary is paused for good.
+    /// The first database's primary hangs until the end of the run.
     Pause,
-    /// Replicas apply 500 ms late.
+    /// The first database's replicas apply the log 500 ms late.
     Lag,
-    /// The platform is down.
+    /// The platform's table and object store are unavailable.
     Store,
-    /// One instance dies.
+    /// One instance crashes.
     Instance,
     /// One team sends ten times its rate.
     Flood,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Way from callers to databases.
+/// Access path from callers to databases.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub enum AccessPath {
     /// Through the proxies.
@@ -124,35 +124,35 @@
     Naive,
 }
 
-/// Options of a workload.
+/// Options of a workload run.
 #[derive(Args, Clone, Debug)]
 pub struct ProfileOptions {
-    /// Deployment.
+    /// Deployment profile.
     #[arg(long, default_value = "volksdans")]
     pub profile: ProfileName,
-    /// Fault after a third of the time.
+    /// Fault to inject after a third of the run.
     #[arg(long, default_value = "none")]
     pub fault: FaultKind,
-    /// Way to the databases.
+    /// Access path to the databases.
     #[arg(long, default_value = "proxy")]
     pub path: AccessPath,
-    /// Seconds of the run.
+    /// Duration of the run in seconds.
     #[arg(long, default_value_t = 12)]
     pub seconds: u64,
-    /// Instances.
+    /// Number of instances.
     #[arg(long, default_value_t = 9)]
     pub instances: usize,
-    /// Part of each team's rate that its callers use.
+    /// Fraction of each team's rate that its callers use.
     #[arg(long, default_value_t = 0.5)]
     pub intensity: f64,
-    /// Seed of the callers' choices.
+    /// Seed of the callers' random generators.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
 impl ProfileOptions {
-    /// Returns the time of the run.
-    pub fn time(&self) -> Duration {
+    /// Returns the duration of the run.
+    pub fn duration(&self) -> Duration {
         Duration::from_secs(self.seconds)
     }
 }
@@ -160,7 +160,7 @@
 /// Options of the capacity measurement.
 #[derive(Args, Debug)]
 pub struct CapacityOptions {
-    /// Seconds for each point.
+    /// Seconds for each measured point.
     #[arg(long, default_value_t = 3)]
     pub seconds: u64,
 }
--- a/crates/load/src/fault_injection.rs
+++ b/crates/load/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults on a run's timeline.
+//! Fault injection during a workload run.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use crate::cli::FaultKind;
 
-/// Lag of replicas under the fault of that name.
-const LAG_MS: u64 = 500;
+/// Apply delay of replicas under [`FaultKind::Lag`].
+const REPLICA_LAG_MS: u64 = 500;
 
-/// Switches a fault on after `delay`, counted from now.
+/// Injects a fault after `delay`; it lasts until the environment ends.
 pub async fn inject_fault(environment: &mut LabEnvironment, fault: FaultKind, delay: Duration) {
     sleep(delay).await;
     let database = environment.options.profile.databases[0];
@@ -31,7 +31,7 @@
         }
         FaultKind::Lag => {
             for member in &group.members[1..] {
-                let lag = FaultChange { lag_ms: Some(LAG_MS), ..FaultChange::default() };
+                let lag = FaultChange { lag_ms: Some(REPLICA_LAG_MS), ..FaultChange::default() };
                 member.change_fault(&lag);
             }
         }
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! `hibiscus-load`: seeded load and experiments.
+//! `hibiscus-load`: generates seeded load, measures overhead and capacity, runs the soak test.
 
 mod caller;
 mod capacity;
@@ -22,8 +22,8 @@
 
 fn main() -> ExitCode {
     let arguments = LoadArguments::parse();
-    if let Err(status) = program::begin(PROGRAM, &arguments.logging) {
-        return status;
+    if let Err(exit_code) = program::begin(PROGRAM, &arguments.logging) {
+        return exit_code;
     }
     program::end(PROGRAM, run(&arguments))
 }
--- a/crates/load/src/overhead.rs
+++ b/crates/load/src/overhead.rs
@@ -1,4 +1,4 @@
-//! Comparison of direct, naive and proxied access.
+//! Compares latency, throughput, CPU time and memory of direct, naive and proxied access.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -19,18 +19,18 @@
 use crate::report::{self, LoadError};
 use crate::resource_usage;
 
-/// Name of the proxy's threads.
-const PROXY_THREADS: &str = "hb-proxy";
-/// Statement that is sent again and again.
+/// Name of the proxy's threads, by which their CPU time is found.
+const PROXY_THREAD_NAME: &str = "hb-proxy";
+/// Statement that every caller repeats.
 const STATEMENT: &str = "SELECT id, hall FROM seats WHERE id = 1";
-/// Factor that keeps the teams' limits out of the way.
+/// Factor on the teams' rates, so that no statement is refused.
 const RATE_FACTOR: f64 = 10_000.0;
-/// Connections and slots that keep the stand-in's limits out of the way.
-const WIDE: u32 = 1_024;
-/// Time for which the proxy's idle processor time is measured.
-const IDLE_TIME: Duration = Duration::from_secs(2);
+/// Connections and slots of a member, so that the stand-in is not the bottleneck.
+const AMPLE_CAPACITY: u32 = 1_024;
+/// Period over which the idle proxy's CPU time is measured.
+const IDLE_CPU_PERIOD: Duration = Duration::from_secs(2);
 
-/// One point of the comparison.
+/// Measurements of an access path at one number of callers.
 #[derive(Debug, Serialize)]
 struct OverheadPoint {
     path: &'static str,
@@ -50,14 +50,14 @@
     idle_proxy_cpu_percent: f64,
 }
 
-/// Runs the comparison.
+/// Runs the comparison and prints its report.
 pub fn run(options: &OverheadOptions, json: bool) -> Result<(), LoadError> {
-    let proxy = runtime(PROXY_THREADS, options.proxy_threads)?;
-    let standin = runtime("hb-standin", 4)?;
-    let callers = runtime("hb-caller", 4)?;
+    let proxy = build_runtime(PROXY_THREAD_NAME, options.proxy_threads)?;
+    let standin = build_runtime("hb-standin", 4)?;
+    let callers = build_runtime("hb-caller", 4)?;
     let mut profile = DeploymentProfile::from_name(ProfileName::Volksdans);
-    profile.slots = WIDE;
-    profile.connections = WIDE;
+    profile.slots = AMPLE_CAPACITY;
+    profile.connections = AMPLE_CAPACITY;
     let lab = LabOptions {
         instances: 1,
         emulate_delays: false,
@@ -67,13 +67,13 @@
     };
     let environment = standin.block_on(LabEnvironment::start(lab))?;
     let report = callers.block_on(measure(&environment, options))?;
-    let text = describe(&report);
+    let text = format_report(&report);
     proxy.shutdown_background();
     standin.shutdown_background();
-    report::print(&report, json, text)
+    report::print_report(&report, json, text)
 }
 
-fn runtime(name: &str, threads: usize) -> Result<Runtime, LoadError> {
+fn build_runtime(name: &str, threads: usize) -> Result<Runtime, LoadError> {
     let runtime = Builder::new_multi_thread()
         .worker_threads(threads)
         .thread_name(name)
@@ -86,16 +86,16 @@
     environment: &LabEnvironment,
     options: &OverheadOptions,
 ) -> Result<OverheadReport, LoadError> {
-    let proxied = environment.instances[0].address;
+    let proxy_address = environment.instances[0].address;
     let database = environment.options.profile.databases[0];
     let group = environment.group(database).expect("the lab starts every group");
-    let direct = group.addresses[0];
-    let naive = TcpRelay::start(direct).await?;
-    let setup = connect(environment, proxied).await?;
+    let direct_address = group.addresses[0];
+    let relay = TcpRelay::start(direct_address).await?;
+    let setup = connect(environment, proxy_address).await?;
     setup.batch_execute("CREATE TABLE seats (id int PRIMARY KEY, hall text)").await?;
     setup.batch_execute("INSERT INTO seats VALUES (1, 'parish')").await?;
-    let idle_cpu = idle_share().await;
-    let paths = [("direct", direct), ("naive", naive.address()), ("proxy", proxied)];
+    let idle_cpu = idle_cpu_fraction().await;
+    let paths = [("direct", direct_address), ("naive", relay.address()), ("proxy", proxy_address)];
     let mut points = Vec::new();
     let time = Duration::from_secs(options.seconds);
     for callers in options.callers.iter().copied() {
@@ -103,7 +103,8 @@
             points.push(measure_point(environment, path, address, callers, time).await?);
         }
     }
-    let bytes_per_idle_caller = measure_idle(environment, proxied, options.idle).await?;
+    let bytes_per_idle_caller =
+        measure_idle_memory(environment, proxy_address, options.idle).await?;
     Ok(OverheadReport {
         points,
         idle_callers: options.idle,
@@ -112,11 +113,12 @@
     })
 }
 
-async fn idle_share() -> f64 {
-    let before = resource_usage::thread_cpu_time(PROXY_THREADS);
-    tokio::time::sleep(IDLE_TIME).await;
-    (resource_usage::thread_cpu_time(PROXY_THREADS) - before).as_secs_f64()
-        / IDLE_TIME.as_secs_f64()
+/// Returns the idle proxy's CPU time as a fraction of one core.
+async fn idle_cpu_fraction() -> f64 {
+    let before = resource_usage::thread_cpu_time(PROXY_THREAD_NAME);
+    tokio::time::sleep(IDLE_CPU_PERIOD).await;
+    (resource_usage::thread_cpu_time(PROXY_THREAD_NAME) - before).as_secs_f64()
+        / IDLE_CPU_PERIOD.as_secs_f64()
 }
 
 async fn measure_point(
@@ -130,18 +132,20 @@
     for _ in 0..callers {
         clients.push(connect(environment, address).await?);
     }
-    let before = resource_usage::thread_cpu_time(PROXY_THREADS);
-    let begin = Instant::now();
-    let tasks: Vec<_> =
-        clients.into_iter().map(|client| tokio::spawn(repeat(client, begin + time))).collect();
-    let mut latencies = report::histogram();
+    let before = resource_usage::thread_cpu_time(PROXY_THREAD_NAME);
+    let start = Instant::now();
+    let tasks: Vec<_> = clients
+        .into_iter()
+        .map(|client| tokio::spawn(send_repeatedly(client, start + time)))
+        .collect();
+    let mut latencies = report::latency_histogram();
     for task in tasks {
         latencies.add(task.await.expect("a caller does not panic")?).expect("same bounds");
     }
-    let seconds = begin.elapsed().as_secs_f64();
-    let used = (resource_usage::thread_cpu_time(PROXY_THREADS) - before).as_secs_f64();
+    let seconds = start.elapsed().as_secs_f64();
+    let cpu_time = (resource_usage::thread_cpu_time(PROXY_THREAD_NAME) - before).as_secs_f64();
     let statements = latencies.len() as f64;
-    let proxy_cpu = (path == "proxy").then_some(used * 1e6 / statements);
+    let proxy_cpu = (path == "proxy").then_some(cpu_time * 1e6 / statements);
     Ok(OverheadPoint {
         path,
         callers,
@@ -152,12 +156,15 @@
     })
 }
 
-async fn repeat(client: Client, end: Instant) -> Result<Histogram<u64>, tokio_postgres::Error> {
-    let mut latencies = report::histogram();
+async fn send_repeatedly(
+    client: Client,
+    end: Instant,
+) -> Result<Histogram<u64>, tokio_postgres::Error> {
+    let mut latencies = report::latency_histogram();
     while Instant::now() < end {
-        let begin = Instant::now();
+        let start = Instant::now();
         client.simple_query(STATEMENT).await?;
-        latencies.saturating_record(begin.elapsed().as_micros() as u64);
+        latencies.saturating_record(start.elapsed().as_micros() as u64);
     }
     Ok(latencies)
 }
@@ -179,8 +186,10 @@
     Ok(client)
 }
 
-/// Returns the growth of this process for each idle caller; the caller's end is a bare socket.
-async fn measure_idle(
+/// Returns by how many bytes this process grows for each idle caller.
+///
+/// Callers are bare sockets, so that almost all of the growth is the proxy's.
+async fn measure_idle_memory(
     environment: &LabEnvironment,
     address: SocketAddr,
     count: usize,
@@ -192,26 +201,26 @@
     let mut startup = login::startup_message(profile.teams[0].name, profile.databases[0]);
     startup.extend(login::password_message(&environment.keys[0]));
     let before = resource_usage::resident_bytes();
-    let mut open = Vec::with_capacity(count);
+    let mut connections = Vec::with_capacity(count);
     for _ in 0..count {
         let mut stream = TcpStream::connect(address).await?;
         stream.write_all(&startup).await?;
-        let mut seen = Vec::new();
-        let mut piece = [0; 1024];
-        while !seen.ends_with(login::READY_FOR_QUERY) {
-            let read = stream.read(&mut piece).await?;
+        let mut received = Vec::new();
+        let mut buffer = [0; 1024];
+        while !received.ends_with(login::READY_FOR_QUERY) {
+            let read = stream.read(&mut buffer).await?;
             if read == 0 {
                 return Err(std::io::Error::other("the proxy refused an idle caller").into());
             }
-            seen.extend_from_slice(&piece[..read]);
+            received.extend_from_slice(&buffer[..read]);
         }
-        open.push(stream);
+        connections.push(stream);
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     Ok(resource_usage::resident_bytes().saturating_sub(before) as f64 / count as f64)
 }
 
-fn describe(report: &OverheadReport) -> String {
+fn format_report(report: &OverheadReport) -> String {
     let mut text =
         String::from("path    callers  statements/s    p50 us    p99 us  proxy cpu us/statement\n");
     for point in &report.points {
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,48 +1,48 @@
-//! Errors and the printing of reports.
+//! Errors, report output and latency histograms.
 
 use hdrhistogram::Histogram;
 use lab::environment::LabError;
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Errors of an experiment.
+/// Errors of a measurement or test.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LoadError {
     /// The environment did not start.
     #[snafu(display("{source}"), context(false))]
     Environment {
-        /// Cause.
+        /// Underlying error.
         source: LabError,
     },
-    /// A caller could not work.
+    /// A caller could not connect or its statement failed.
     #[snafu(display("{source}"), context(false))]
     Caller {
-        /// Cause reported by the driver.
+        /// Error of the PostgreSQL driver.
         source: tokio_postgres::Error,
     },
-    /// The system refused something.
+    /// A system call failed.
     #[snafu(display("{source}"), context(false))]
     System {
-        /// Cause reported by the system.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The soak found broken promises or could not take place.
-    #[snafu(display("promises broken or not run: seeds {seeds}"))]
+    /// A soak run violated an invariant or could not be completed.
+    #[snafu(display("invariants violated or soak not completed for seeds {seeds}"))]
     Soak {
-        /// Seeds concerned.
+        /// Failed seeds, separated by commas.
         seeds: String,
     },
-    /// The report cannot be written.
+    /// The report could not be serialized.
     #[snafu(display("{source}"), context(false))]
     Report {
-        /// Cause reported by the JSON writer.
+        /// Error of the JSON serializer.
         source: serde_json::Error,
     },
 }
 
-/// Prints a report as JSON or in its text form.
-pub fn print<R: Serialize>(report: &R, json: bool, text: String) -> Result<(), LoadError> {
+/// Prints a report as JSON, or else `text`.
+pub fn print_report<R: Serialize>(report: &R, json: bool, text: String) -> Result<(), LoadError> {
     if json {
         println!("{}", serde_json::to_string_pretty(report)?);
     } else {
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// Creates a histogram of microseconds.
-pub fn histogram() -> Histogram<u64> {
+/// Creates a latency histogram from 1 us to 60 s with three significant digits.
+pub fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid")
 }
--- a/crates/load/src/soak.rs
+++ b/crates/load/src/soak.rs
@@ -1,18 +1,20 @@
-//! Randomized soak over a range of seeds.
+//! Soak test over a range of seeds.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-use ::soak::run::{SoakReport, SoakSettings, run as play, seed_folder};
+use ::soak::run::{SoakReport, SoakSettings, run as run_soak, seed_folder};
 use tokio::runtime::Runtime;
 
 use crate::cli::SoakOptions;
 use crate::report::{LoadError, SoakSnafu};
 
-/// Plays the seeds and prints a line for each; fails if a promise was broken.
+/// Runs every seed and prints a line for each.
+///
+/// Returns an error if an invariant was violated or a seed could not be run.
 pub fn run(options: &SoakOptions) -> Result<(), LoadError> {
     let runtime = Runtime::new()?;
-    let failed = runtime.block_on(play_all(options));
+    let failed = runtime.block_on(run_seeds(options));
     if failed.is_empty() {
         return Ok(());
     }
@@ -20,18 +22,17 @@
     SoakSnafu { seeds: seeds.join(", ") }.fail()
 }
 
-async fn play_all(options: &SoakOptions) -> Vec<u64> {
+async fn run_seeds(options: &SoakOptions) -> Vec<u64> {
     let mut failed = Vec::new();
     let seeds: Vec<u64> = (options.seed..options.seed + options.seeds).collect();
     for batch in seeds.chunks(options.jobs.max(1)) {
-        let playing =
-            batch.iter().map(|seed| (*seed, tokio::spawn(play_one(*seed, options.clone()))));
-        let playing: Vec<_> = playing.collect();
-        for (seed, run) in playing {
+        let runs = batch.iter().map(|seed| (*seed, tokio::spawn(run_seed(*seed, options.clone()))));
+        let runs: Vec<_> = runs.collect();
+        for (seed, run) in runs {
             match run.await {
-                Ok(Ok(report)) if report.broken.is_empty() => print(seed, &report),
+                Ok(Ok(report)) if report.broken.is_empty() => print_report(seed, &report),
                 Ok(Ok(report)) => {
-                    print(seed, &report);
+                    print_report(seed, &report);
                     report.broken.iter().for_each(|line| println!("  {line}"));
                     failed.push(seed);
                 }
@@ -49,7 +50,7 @@
     failed
 }
 
-fn print(seed: u64, report: &SoakReport) {
+fn print_report(seed: u64, report: &SoakReport) {
     let SoakReport { broken, faults, writes, reads } = report;
     println!(
         "seed {seed}: {} broken, {faults} faults, {writes} writes, {reads} reads",
@@ -57,7 +58,7 @@
     );
 }
 
-async fn play_one(seed: u64, options: SoakOptions) -> Result<SoakReport, String> {
+async fn run_seed(seed: u64, options: SoakOptions) -> Result<SoakReport, String> {
     let folder = seed_folder(&options.folder, seed);
     std::fs::create_dir_all(&folder).map_err(|error| error.to_string())?;
     let settings = SoakSettings {
@@ -65,19 +66,19 @@
         time: Duration::from_secs(options.seconds),
         instances: options.instances,
         callers: options.callers,
-        program: options.program.clone().unwrap_or_else(sibling_program),
+        program: options.program.clone().unwrap_or_else(default_program),
         folder: folder.clone(),
     };
-    let report = play(&settings).await.map_err(|error| error.to_string())?;
+    let report = run_soak(&settings).await.map_err(|error| error.to_string())?;
     if report.broken.is_empty() {
-        // Logs of a run that kept its promises are of no further use.
+        // Keeps settings and logs of failed seeds only.
         std::fs::remove_dir_all(&folder).map_err(|error| error.to_string())?;
     }
     Ok(report)
 }
 
-/// Returns the instance program beside this one.
-fn sibling_program() -> PathBuf {
+/// Returns the path of the instance program in the folder of this program.
+fn default_program() -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
     own.with_file_name("hibiscus-gateway")
 }
--- a/crates/load/src/workload.rs
+++ b/crates/load/src/workload.rs
@@ -1,4 +1,4 @@
-//! Workload of a deployment, with the measures of the brief.
+//! Runs a deployment's workload and reports availability, latency and consistency.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -14,27 +14,27 @@
 use proxy::counters::ReadTally;
 use serde::Serialize;
 
-use crate::caller::{self, BROWSE_ROWS, CALLER_PATIENCE, RunContext};
+use crate::caller::{self, BROWSE_ROWS, REQUEST_TIMEOUT, RunContext};
 use crate::cli::{AccessPath, FaultKind, ProfileOptions};
 use crate::fault_injection;
 use crate::report::{self, LoadError};
 
-/// Callers of each team.
+/// Number of callers of each team.
 const TEAM_CALLERS: usize = 6;
-/// Time that a statement takes on a member besides the engine's own.
+/// Time that each statement takes on a member in addition to its execution.
 const STATEMENT_TIME: Duration = Duration::from_micros(500);
-/// Writers that measure the service gap, each on an instance of its own.
-const PROBES: usize = 3;
-/// Team for which they write.
-const PROBE_TEAM: usize = 1;
-/// Pause between two of their writes.
+/// Number of probe writers that measure the longest write gap, each on another instance.
+const PROBE_COUNT: usize = 3;
+/// Index of the team of the probe writers.
+const PROBE_TEAM_INDEX: usize = 1;
+/// Delay between two writes of a probe writer.
 const PROBE_INTERVAL: Duration = Duration::from_millis(25);
-/// Factor of a flooding team's rate.
+/// Factor by which a flooding team exceeds its rate.
 const FLOOD_FACTOR: f64 = 10.0;
 
-/// Measures of one team.
+/// Measurements of one team.
 #[derive(Debug, Serialize)]
-struct TeamMeasure {
+struct TeamReport {
     team: &'static str,
     answered: u64,
     refused: u64,
@@ -44,7 +44,7 @@
     service_share: f64,
 }
 
-/// Measures of a run.
+/// Measurements of a run.
 #[derive(Debug, Serialize)]
 struct ProfileReport {
     profile: &'static str,
@@ -64,16 +64,16 @@
     own_writes_missed: u64,
     table_writes: u64,
     table_reads: u64,
-    teams: Vec<TeamMeasure>,
+    teams: Vec<TeamReport>,
 }
 
-/// Runs a workload.
+/// Runs a workload and prints its report.
 pub fn run(options: &ProfileOptions, json: bool) -> Result<(), LoadError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let report = runtime.block_on(run_profile(options))?;
-    let text = describe(&report);
+    let text = format_report(&report);
     runtime.shutdown_background();
-    report::print(&report, json, text)
+    report::print_report(&report, json, text)
 }
 
 async fn run_profile(options: &ProfileOptions) -> Result<ProfileReport, LoadError> {
@@ -84,52 +84,53 @@
         ..LabOptions::new(profile.clone())
     };
     let mut environment = LabEnvironment::start(lab).await?;
-    let (addresses, _relays) = addresses(&environment, options.path).await?;
-    prepare(&environment).await?;
+    let (addresses, _relays) = caller_addresses(&environment, options.path).await?;
+    create_tables(&environment).await?;
     let context = Arc::new(RunContext {
         keys: environment.keys.clone(),
         addresses,
-        tallies: profile.teams.iter().map(|_| Mutex::default()).collect(),
-        end: Instant::now() + options.time(),
+        team_counts: profile.teams.iter().map(|_| Mutex::default()).collect(),
+        end: Instant::now() + options.duration(),
         profile,
     });
     let counts = environment.hub.platform.counts();
     let probes: Vec<_> =
-        (0..PROBES).map(|probe| tokio::spawn(probe_writes(context.clone(), probe))).collect();
+        (0..PROBE_COUNT).map(|probe| tokio::spawn(probe_writes(context.clone(), probe))).collect();
     let mut callers = Vec::new();
     for team in 0..context.profile.teams.len() {
         for caller in 0..TEAM_CALLERS {
             let seed = options.seed * 10_000 + (team * TEAM_CALLERS + caller) as u64;
             let rate = caller_rate(options, &context.profile, team);
-            callers.push(tokio::spawn(caller::call(context.clone(), team, seed, rate)));
+            callers.push(tokio::spawn(caller::run_caller(context.clone(), team, seed, rate)));
         }
     }
-    fault_injection::inject_fault(&mut environment, options.fault, options.time() / 3).await;
+    fault_injection::inject_fault(&mut environment, options.fault, options.duration() / 3).await;
     for caller in callers {
         caller.await.expect("a caller does not panic");
     }
     let after = environment.hub.platform.counts();
-    let mut gap = Duration::ZERO;
+    let mut longest_gap = Duration::ZERO;
     for probe in probes {
-        gap = gap.max(probe.await.expect("a probe does not panic"));
+        longest_gap = longest_gap.max(probe.await.expect("a probe does not panic"));
     }
-    let measured = RunMeasures {
-        replica_read_share: read_share(&environment),
-        gap,
+    let measurements = RunMeasurements {
+        replica_read_share: replica_read_fraction(&environment),
+        longest_gap,
         table_writes: after.writes - counts.writes,
         table_reads: after.reads - counts.reads,
     };
-    Ok(summarise(options, &context, &measured))
+    Ok(build_report(options, &context, &measurements))
 }
 
+/// Returns the requests per second of each caller of a team.
 fn caller_rate(options: &ProfileOptions, profile: &DeploymentProfile, team: usize) -> f64 {
     let rate = profile.teams[team].rate * options.intensity / TEAM_CALLERS as f64;
-    let floods = options.fault == FaultKind::Flood && team == 0;
-    if floods { rate * FLOOD_FACTOR / options.intensity } else { rate }
+    let is_flooding = options.fault == FaultKind::Flood && team == 0;
+    if is_flooding { rate * FLOOD_FACTOR / options.intensity } else { rate }
 }
 
-/// Returns the callers' addresses by database, and the relays that must stay alive.
-async fn addresses(
+/// Returns the callers' addresses by database, and the relays to keep until the run ends.
+async fn caller_addresses(
     environment: &LabEnvironment,
     path: AccessPath,
 ) -> Result<(Vec<Vec<SocketAddr>>, Vec<TcpRelay>), LoadError> {
@@ -152,8 +153,8 @@
     Ok((addresses, relays))
 }
 
-/// Creates the tables on every database, without counting against the workload.
-async fn prepare(environment: &LabEnvironment) -> Result<(), LoadError> {
+/// Creates and fills the tables of every database before the workload starts.
+async fn create_tables(environment: &LabEnvironment) -> Result<(), LoadError> {
     let profile = &environment.options.profile;
     let table = profile.browse_table;
     for database in profile.databases {
@@ -170,27 +171,30 @@
     Ok(())
 }
 
-/// Returns the part of all reads that replicas served; none without proxies.
-fn read_share(environment: &LabEnvironment) -> f64 {
+/// Returns the fraction of reads that replicas served; zero without proxies.
+fn replica_read_fraction(environment: &LabEnvironment) -> f64 {
     let sum = |count: fn(&ReadTally) -> &AtomicU64| -> u64 {
         let instances = environment.instances.iter();
         instances
             .map(|running| count(&running.instance.counters.reads).load(Ordering::Relaxed))
             .sum()
     };
-    let (replica, primary) = (sum(|tally| &tally.replica), sum(|tally| &tally.primary));
+    let (replica, primary) = (sum(|reads| &reads.replica), sum(|reads| &reads.primary));
     replica as f64 / (replica + primary).max(1) as f64
 }
 
-/// Writes to the first database all the time and returns the longest time between two answers.
+/// Writes to the first database until the run ends.
+///
+/// Returns the longest time without a successful write.
 async fn probe_writes(context: Arc<RunContext>, probe: usize) -> Duration {
     let choices = &context.addresses[0];
     let address = choices[probe % choices.len()];
-    let (name, key) = (context.profile.teams[PROBE_TEAM].name, &context.keys[PROBE_TEAM]);
+    let (name, key) =
+        (context.profile.teams[PROBE_TEAM_INDEX].name, &context.keys[PROBE_TEAM_INDEX]);
     let database = context.profile.databases[0];
     let mut client = None;
-    let mut last = Instant::now();
-    let mut gap = Duration::ZERO;
+    let mut last_response = Instant::now();
+    let mut longest_gap = Duration::ZERO;
     let mut number = 0_u64;
     while Instant::now() < context.end {
         if client.is_none() {
@@ -199,12 +203,13 @@
         number += 1;
         let id = (probe as u64 + 1) << 56 | number;
         let sql = format!("INSERT INTO bookings VALUES ({id}, 'probe')");
-        if let Some(open) = &client {
-            let answer = tokio::time::timeout(CALLER_PATIENCE, open.simple_query(&sql)).await;
-            match answer {
+        if let Some(connection) = &client {
+            let response =
+                tokio::time::timeout(REQUEST_TIMEOUT, connection.simple_query(&sql)).await;
+            match response {
                 Ok(Ok(_)) => {
-                    gap = gap.max(last.elapsed());
-                    last = Instant::now();
+                    longest_gap = longest_gap.max(last_response.elapsed());
+                    last_response = Instant::now();
                 }
                 Ok(Err(error)) if !error.is_closed() => {}
                 _ => client = None,
@@ -212,55 +217,55 @@
         }
         tokio::time::sleep(PROBE_INTERVAL).await;
     }
-    gap.max(last.elapsed())
+    longest_gap.max(last_response.elapsed())
 }
 
-/// Measures taken beside the callers' tallies.
-struct RunMeasures {
+/// Measurements that the callers do not count themselves.
+struct RunMeasurements {
     replica_read_share: f64,
-    gap: Duration,
+    longest_gap: Duration,
     table_writes: u64,
     table_reads: u64,
 }
 
-fn summarise(
+fn build_report(
     options: &ProfileOptions,
     context: &RunContext,
-    measured: &RunMeasures,
+    measurements: &RunMeasurements,
 ) -> ProfileReport {
     let mut teams = Vec::new();
     let (mut refused, mut sent, mut unknown, mut missed) = (0, 0, 0, 0);
     let mut refusals: BTreeMap<String, u64> = BTreeMap::new();
     for (index, profile) in context.profile.teams.iter().enumerate() {
-        let tally = context.tallies[index].lock();
-        let all = tally.answered + tally.refused + tally.unknown;
-        let floods = options.fault == FaultKind::Flood && index == 0;
-        if !floods {
-            refused += tally.refused;
-            sent += all;
-            unknown += tally.unknown;
-            for (state, count) in &tally.reasons {
+        let counts = context.team_counts[index].lock();
+        let total = counts.answered + counts.refused + counts.unknown;
+        let is_flooding = options.fault == FaultKind::Flood && index == 0;
+        if !is_flooding {
+            refused += counts.refused;
+            sent += total;
+            unknown += counts.unknown;
+            for (state, count) in &counts.error_codes {
                 *refusals.entry(state.clone()).or_default() += count;
             }
         }
-        missed += tally.stale_reads;
-        teams.push(TeamMeasure {
+        missed += counts.own_writes_missed;
+        teams.push(TeamReport {
             team: profile.name,
-            answered: tally.answered,
-            refused: tally.refused,
-            unknown: tally.unknown,
-            p50_ms: tally.latencies.value_at_quantile(0.5) as f64 / 1_000.0,
-            p99_ms: tally.latencies.value_at_quantile(0.99) as f64 / 1_000.0,
-            service_share: tally.answered as f64 / all.max(1) as f64,
+            answered: counts.answered,
+            refused: counts.refused,
+            unknown: counts.unknown,
+            p50_ms: counts.latencies.value_at_quantile(0.5) as f64 / 1_000.0,
+            p99_ms: counts.latencies.value_at_quantile(0.99) as f64 / 1_000.0,
+            service_share: counts.answered as f64 / total.max(1) as f64,
         });
     }
-    let first = usize::from(options.fault == FaultKind::Flood);
-    let others = &teams[first..];
+    let first_measured = usize::from(options.fault == FaultKind::Flood);
+    let others = &teams[first_measured..];
     let worst = others
         .iter()
         .min_by(|one, other| one.service_share.total_cmp(&other.service_share))
         .expect("there are several teams");
-    let slowest = others.iter().map(|team| team.p99_ms).fold(0.0, f64::max);
+    let worst_p99_ms = others.iter().map(|team| team.p99_ms).fold(0.0, f64::max);
     ProfileReport {
         profile: options.profile.label(),
         path: if options.path == AccessPath::Proxy { "proxy" } else { "naive" },
@@ -268,22 +273,22 @@
         seed: options.seed,
         seconds: options.seconds,
         instances: options.instances,
-        replica_read_share: measured.replica_read_share,
-        longest_write_gap_ms: measured.gap.as_millis() as u64,
+        replica_read_share: measurements.replica_read_share,
+        longest_write_gap_ms: measurements.longest_gap.as_millis() as u64,
         worst_team: worst.team,
         worst_service_share: worst.service_share,
-        worst_p99_ms: slowest,
+        worst_p99_ms,
         refused_inside_rate_percent: 100.0 * refused as f64 / sent.max(1) as f64,
         refusals,
         unknown,
         own_writes_missed: missed,
-        table_writes: measured.table_writes,
-        table_reads: measured.table_reads,
+        table_writes: measurements.table_writes,
+        table_reads: measurements.table_reads,
         teams,
     }
 }
 
-fn describe(report: &ProfileReport) -> String {
+fn format_report(report: &ProfileReport) -> String {
     let mut text = format!(
         "{} {} fault={} seed={} {} s, {} instances\n",
         report.profile, report.path, report.fault, report.seed, report.seconds, report.instances
