--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,13 +1,13 @@
-//! `hibiscus-load`: seeded load and experiments.
+//! `hibiscus-load`: generates seeded load, measures overhead and capacity, runs the soak test.
 
 mod caller;
 mod capacity;
 mod cli;
-mod cpu;
+mod fault_injection;
 mod overhead;
 mod report;
+mod resource_usage;
 mod soak;
-mod timeline;
 mod workload;
 
 use std::process::ExitCode;
@@ -22,8 +22,8 @@
 
 fn main() -> ExitCode {
     let arguments = LoadArguments::parse();
-    if let Err(status) = program::begin(PROGRAM, &arguments.logging) {
-        return status;
+    if let Err(exit_code) = program::begin(PROGRAM, &arguments.logging) {
+        return exit_code;
     }
     program::end(PROGRAM, run(&arguments))
 }
