--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -13,7 +13,7 @@
 
 /// Bounds the wait for the answer of a quota owner.
 const ADMISSION_TIMEOUT: Duration = Duration::from_millis(150);
-/// Quota owners asked before the instance decides locally.
+/// Maximum candidates for the quota owner that are asked before the instance decides locally.
 const MAX_QUOTA_OWNERS: usize = 2;
 /// Shortest retry delay stated in a refusal.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -64,8 +64,10 @@
             first_start,
             now,
         ) {
-            Ok(after) => AdmissionDecision::Admitted { delay: after },
-            Err(delay) => AdmissionDecision::Refused { retry_after: delay.retry_after },
+            Ok(delay) => AdmissionDecision::Admitted { delay },
+            Err(insufficient) => {
+                AdmissionDecision::Refused { retry_after: insufficient.retry_after }
+            }
         }
     }
 
@@ -79,7 +81,9 @@
         }
     }
 
-    /// Asks the quota owner of a team for a decision, or decides locally if none answers.
+    /// Asks the quota owner of a team for a decision.
+    ///
+    /// Decides locally if this instance is the owner or no candidate answers.
     async fn request_admission(
         self: &Rc<Self>,
         team: &str,
--- a/crates/engine/src/caller.rs
+++ b/crates/engine/src/caller.rs
@@ -56,9 +56,13 @@
 
 /// Event that a session waits for.
 enum SessionEvent {
+    /// A line of this length, without its terminator, arrived at this time.
     Line(usize, Instant),
+    /// The caller closed the connection, or reading from it failed.
     Closed,
+    /// The open transaction has been idle for too long.
     TransactionIdleTimeout,
+    /// The instance is leaving and the session is idle.
     Leaving,
 }
 
@@ -215,12 +219,12 @@
             return SessionEvent::Line(length, self.instance.now());
         }
         let instance = self.instance.clone();
-        let idle_limit = match self.document().transaction_idle_timeout {
+        let idle_timeout = match self.document().transaction_idle_timeout {
             Some(limit) if self.machine.is_pinned() => Some(limit),
             _ => None,
         };
-        let idle_timeout = async {
-            match idle_limit {
+        let idle_timer = async {
+            match idle_timeout {
                 Some(limit) => sleep(limit).await,
                 None => std::future::pending().await,
             }
@@ -243,7 +247,7 @@
                 Some(length) => SessionEvent::Line(length, instance.now()),
                 None => SessionEvent::Closed,
             },
-            () = idle_timeout => SessionEvent::TransactionIdleTimeout,
+            () = idle_timer => SessionEvent::TransactionIdleTimeout,
             () = leaving => SessionEvent::Leaving,
         }
     }
@@ -303,7 +307,8 @@
         text: &str,
         out: &mut Vec<u8>,
     ) {
-        let pending = if plan.pinned { self.machine.take_pending_setup() } else { Vec::new() };
+        let pending_setup =
+            if plan.pinned { self.machine.take_pending_setup() } else { Vec::new() };
         let context = StatementContext {
             plan,
             route,
@@ -312,7 +317,7 @@
             text,
             session_state: &self.machine,
             session_id: self.session_id,
-            pending_setup: pending,
+            pending_setup,
             arrived_at: self.arrived_at,
         };
         let result = self.instance.run_statement(&context, self.pinned.as_ref()).await;
@@ -342,7 +347,7 @@
         }
     }
 
-    /// Returns the route and the team of the caller, or the reason of the refusal.
+    /// Returns the route and the team of the caller, or the code and explanation of a refusal.
     fn authorize(&self) -> Result<AuthorizedRoute, (RefusalCode, &'static str)> {
         let document = self.document();
         let Some(route) = document.route(&self.database) else {
@@ -383,8 +388,8 @@
 
     /// Rolls back the open transaction at its endpoint, if there is one.
     fn release_transaction(&mut self) {
-        if let Some(place) = self.pinned.take() {
-            self.instance.dispatch_release(&place.owner, place.transaction_id);
+        if let Some(transaction) = self.pinned.take() {
+            self.instance.dispatch_release(&transaction.owner, transaction.transaction_id);
         }
     }
 
@@ -418,6 +423,7 @@
     }
 }
 
+/// Returns the code and the explanation for a statement that the session refused.
 fn describe_error(error: StatementError) -> (RefusalCode, &'static str) {
     match error {
         StatementError::InvalidState => {
--- a/crates/engine/src/connection_owner.rs
+++ b/crates/engine/src/connection_owner.rs
@@ -46,7 +46,8 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(350);
 /// Bounds a rollback and the liveness check of an idle connection.
 const CLEANUP_TIMEOUT: Duration = Duration::from_millis(400);
-/// Idle time after which a connection is checked before it carries a call that is not retryable.
+/// Idle time after which the liveness of a connection is checked before it carries a call that is
+/// not retryable.
 const MIN_IDLE_BEFORE_CHECK: Duration = Duration::from_millis(1_500);
 /// Setup identifier of a connection whose session settings are not known.
 const UNKNOWN_SETUP_ID: u64 = u64::MAX;
@@ -121,7 +122,7 @@
         let now = self.now();
         let queue_wait = pool.queue.borrow().expected_wait(call.priority);
         let directory = self.directory.borrow();
-        let newest = directory.watermarks(&pool.service).and_then(|marks| marks.newest());
+        let newest = directory.watermarks(&pool.service).and_then(|watermarks| watermarks.newest());
         let with_age = |watermark: Watermark| {
             (watermark.position, millis(now.saturating_duration_since(watermark.as_of)) + 1)
         };
@@ -173,7 +174,8 @@
     /// Evicts connections that were idle for too long or that are broken, and removes the pools of
     /// unregistered and restarted endpoints.
     ///
-    /// Connections to endpoints that another instance owns have a shorter idle timeout.
+    /// Connections to endpoints that another instance owns have a shorter idle timeout. The limits of
+    /// all pools are updated and unreachable endpoints are probed.
     pub fn evict_idle_connections(self: &Rc<Self>) {
         let now = self.now();
         let pools: Vec<Rc<EndpointPool>> =
@@ -439,7 +441,7 @@
                     pool.connections_refused_at.set(Some(now));
                     return Err(AcquireError::Full);
                 }
-                // A timeout shorter than the usual one does not show that the endpoint is
+                // A timeout shorter than `CONNECT_TIMEOUT` does not show that the endpoint is
                 // unreachable.
                 if open_timeout >= CONNECT_TIMEOUT
                     || !matches!(error, EndpointError::ConnectTimeout)
@@ -452,7 +454,9 @@
         }
     }
 
-    /// Checks the liveness of an idle connection. Returns `None` if it fails or times out.
+    /// Checks the liveness of an idle connection by a reset, which removes its session settings.
+    ///
+    /// Returns `None` if the check fails or times out.
     async fn check_connection(
         &self,
         mut connection: EndpointConnection,
@@ -622,42 +626,42 @@
         answers: &[StatementAnswer],
     ) {
         let state = answers.last().map_or(TransactionState::Failed, |answer| answer.state);
-        let pinned = PinnedConnection { pool: pool.clone(), team: call.team.clone(), connection };
+        let pooled = PinnedConnection { pool: pool.clone(), team: call.team.clone(), connection };
         // A failed statement may leave the transaction open at the endpoint, but its session
         // abandons it.
         let failed = answers.iter().any(|answer| answer.error.is_some());
         let kept = call.keep_pinned && !failed && self.pools.is_live_origin(origin);
         match state {
             TransactionState::Open if kept => {
-                self.pools.pinned.borrow_mut().insert((origin, call.transaction_id), pinned);
+                self.pools.pinned.borrow_mut().insert((origin, call.transaction_id), pooled);
             }
-            TransactionState::Idle => self.return_idle(pinned),
-            TransactionState::Open | TransactionState::Failed => self.roll_back(pinned),
+            TransactionState::Idle => self.return_idle(pooled),
+            TransactionState::Open | TransactionState::Failed => self.roll_back(pooled),
         }
     }
 
     /// Returns a connection to its pool.
-    fn return_idle(&self, pinned: PinnedConnection) {
-        let PinnedConnection { pool, team, connection } = pinned;
+    fn return_idle(&self, pooled: PinnedConnection) {
+        let PinnedConnection { pool, team, connection } = pooled;
         let idle_since = self.now();
         pool.idle.borrow_mut().push(IdleConnection { team, connection, idle_since });
         pool.connection_freed.notify_one();
     }
 
     /// Rolls back on a connection and returns it to its pool, or closes it if that fails.
-    fn roll_back(self: &Rc<Self>, mut pinned: PinnedConnection) {
+    fn roll_back(self: &Rc<Self>, mut pooled: PinnedConnection) {
         let instance = self.clone();
         tokio::task::spawn_local(async move {
             let mut bytes = Vec::new();
             E::Codec::encode_control(&mut bytes, ControlStatement::Rollback);
             let rolled_back = async {
-                pinned.connection.send(&bytes).await.ok()?;
-                let answer = pinned.connection.read_answer::<E::Codec>().await.ok()?;
+                pooled.connection.send(&bytes).await.ok()?;
+                let answer = pooled.connection.read_answer::<E::Codec>().await.ok()?;
                 (answer.state == TransactionState::Idle).then_some(())
             };
             match timeout(CLEANUP_TIMEOUT, rolled_back).await {
-                Ok(Some(())) => instance.return_idle(pinned),
-                Ok(None) | Err(_) => pinned.pool.close_connection(pinned.connection),
+                Ok(Some(())) => instance.return_idle(pooled),
+                Ok(None) | Err(_) => pooled.pool.close_connection(pooled.connection),
             }
         });
     }
@@ -673,17 +677,13 @@
 /// Team name sent with probes, which belong to no team.
 const PROBE_TEAM: &str = "-";
 
-/// Returns the key of a team in request queues.
+/// Returns the hash by which request queues identify a team.
 fn team_hash(team: &str) -> u64 {
     rendezvous::weight(team, "")
 }
 
-fn refused_reply(reason: NotSentReason, queue_ms: u32) -> ExecuteReply {
-    ExecuteReply {
-        outcome: not_sent(reason, Duration::ZERO),
-        queue_wait_ms: queue_ms,
-        watermark: None,
-    }
+fn refused_reply(reason: NotSentReason, queue_wait_ms: u32) -> ExecuteReply {
+    ExecuteReply { outcome: not_sent(reason, Duration::ZERO), queue_wait_ms, watermark: None }
 }
 
 fn not_sent(reason: NotSentReason, retry: Duration) -> ExecuteOutcome {
--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -206,7 +206,8 @@
         newly_unregistered
     }
 
-    /// Removes endpoints unregistered for four grace periods, and returns their names.
+    /// Removes endpoints that have been unregistered for more than four times
+    /// [`UNREGISTERED_GRACE_PERIOD`], and returns their names.
     pub fn remove_expired(&mut self, now: Instant) -> Vec<String> {
         let is_expired = |entry: &EndpointEntry| {
             entry
@@ -289,7 +290,8 @@
         self.services.get(service).map_or(&[], |state| &state.members)
     }
 
-    /// Returns the most credible leader of a service that has not refused to lead recently.
+    /// Returns the most credible leader of a service that has not recently answered that it is a
+    /// follower.
     pub fn leader(&self, service: &str, now: Instant) -> Option<String> {
         let candidates = self.leader_candidates(service, now);
         candidates.into_iter().find(|name| !self.endpoints[*name].view.is_follower(now)).cloned()
@@ -298,7 +300,8 @@
     /// Returns the endpoints to try for a write, best first.
     ///
     /// Endpoints neither known nor registered as leader are included only if all leader candidates
-    /// have refused to lead: an unreachable leader is still the only one that may accept a write.
+    /// have recently answered that they are followers: an unreachable leader is still the only one
+    /// that may accept a write.
     pub fn write_candidates(&self, service: &str, now: Instant) -> Vec<String> {
         let usable = |name: &&String| self.endpoints[*name].accepts_work(self.drain_timeout, now);
         let candidates: Vec<&String> =
@@ -326,15 +329,20 @@
         let Some(state) = self.services.get(service) else {
             return Vec::new();
         };
-        let confirmed = state.leader.as_ref().map(|(endpoint, _)| endpoint);
+        let known_leader = state.leader.as_ref().map(|(endpoint, _)| endpoint);
         let may_lead = |name: &&String| {
-            self.endpoints[*name].record.leads || confirmed.is_some_and(|leader| leader == *name)
+            self.endpoints[*name].record.leads || known_leader.is_some_and(|leader| leader == *name)
         };
         let mut order: Vec<&String> = state.members.iter().filter(may_lead).collect();
         order.sort_by_key(|name| {
             let entry = &self.endpoints[*name];
-            // A failed leader may have been replaced by one that is not confirmed yet.
-            (entry.view.is_follower(now), entry.view.failed_recently(now), confirmed != Some(*name))
+            // A leader that failed recently may have been replaced by a member that so far only its
+            // registration names as leader.
+            (
+                entry.view.is_follower(now),
+                entry.view.failed_recently(now),
+                known_leader != Some(*name),
+            )
         });
         order
     }
@@ -356,8 +364,8 @@
         let members: Vec<&String> = self.members(service).iter().filter(serves).collect();
         let candidate = |name: &&String| {
             let entry = &self.endpoints[*name];
-            let near = entry.record.zone == zone;
-            ReadCandidate { view: entry.view, same_zone: near, leads: leads(name) }
+            let same_zone = entry.record.zone == zone;
+            ReadCandidate { view: entry.view, same_zone, leads: leads(name) }
         };
         let candidates: Vec<ReadCandidate> = members.iter().map(candidate).collect();
         let order = order_for_read(&candidates, required, now);
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -87,11 +87,11 @@
         };
         // Subtracting the age from the time of sending ignores the round trip, so the watermark is
         // never taken for newer than it is.
-        if let Some(asked_at) = sent_at.checked_sub(Duration::from_millis(age_ms.into())) {
+        if let Some(as_of) = sent_at.checked_sub(Duration::from_millis(age_ms.into())) {
             let mut directory = self.directory.borrow_mut();
             let service = directory.endpoint(&endpoint).map(|entry| entry.record.service.clone());
             if let Some(service) = service {
-                directory.record_watermark(&service, Watermark { as_of: asked_at, position });
+                directory.record_watermark(&service, Watermark { as_of, position });
             }
         }
         reply
--- a/crates/engine/src/failover.rs
+++ b/crates/engine/src/failover.rs
@@ -30,14 +30,14 @@
 const VACANCY_GRACE_PERIOD: Duration = Duration::from_millis(500);
 /// Delay between probe rounds of one service.
 const PROBE_ROUND_DELAY: Duration = Duration::from_millis(120);
-/// Timeout of an indirect probe.
+/// Bounds the wait for the answer to an indirect probe.
 const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(450);
-/// Number of instances asked for an indirect probe of a leader.
+/// Maximum number of instances asked for an indirect probe of a leader.
 const INDIRECT_PROBES: usize = 2;
 /// Maximum probes of a promoted member until it confirms that it is the leader; after that, the
 /// other instances discover it by their own statements.
 const MAX_PROMOTION_POLLS: usize = 12;
-/// Interval between these probes; a promotion takes a few hundred milliseconds.
+/// Interval between probes of a promoted member; a promotion takes a few hundred milliseconds.
 const PROMOTION_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Rendezvous hash key that elects the instance which acquires the lease.
 const COORDINATOR_ELECTION_KEY: &str = "promotion";
@@ -52,6 +52,8 @@
     /// The token was used by a promotion that may still take effect, and must be incremented before
     /// the next one.
     token_used: bool,
+    /// Time of the last read or write that has not succeeded; in the future if the next attempt is
+    /// postponed until the lease of another instance expires.
     attempted_at: Option<Instant>,
 }
 
@@ -78,13 +80,14 @@
                 self.directory.borrow().document().service_names().map(str::to_owned).collect();
             for service in services {
                 let machine = machines.entry(service.clone()).or_default().clone();
-                // A third reference belongs to a task that is already evaluating this service.
+                // Two references are held by the map and this loop; a third one belongs to a task that
+                // is already evaluating this service.
                 if Rc::strong_count(&machine) > 2 || !self.is_leader_suspect(&service, &machine) {
                     continue;
                 }
-                let (node, held) = (self.clone(), held.clone());
+                let (instance, held) = (self.clone(), held.clone());
                 tokio::task::spawn_local(async move {
-                    node.evaluate_failover(&service, &machine, &held).await;
+                    instance.evaluate_failover(&service, &machine, &held).await;
                     sleep(PROBE_ROUND_DELAY).await;
                 });
             }
@@ -143,7 +146,8 @@
         let current = snapshot.lease.unwrap_or_default();
         let is_own = current.holder == self.name();
         if !is_own && current.ends_ms > snapshot.now_ms {
-            // Both times are by the store's clock, so the difference needs no synchronized clocks.
+            // Postpones the next attempt until the lease expires. Both times are by the store's
+            // clock, so the difference needs no synchronized clocks.
             let remaining = Duration::from_millis(current.ends_ms - snapshot.now_ms);
             held.borrow_mut().attempted_at =
                 Some(self.now() + remaining.saturating_sub(LEASE_RETRY_BACKOFF));
@@ -164,15 +168,15 @@
             valid_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
         let overdue =
             valid_until.map_or(Duration::ZERO, |until| now.saturating_duration_since(until));
-        let store_now = (ends_ms + millis(overdue)).saturating_sub(millis(remaining));
-        self.write_lease(held, version, store_now, token).await;
+        let store_now_ms = (ends_ms + millis(overdue)).saturating_sub(millis(remaining));
+        self.write_lease(held, version, store_now_ms, token).await;
     }
 
     async fn write_lease(
         &self,
         held: &RefCell<HeldLease>,
         version: u64,
-        store_ms: u64,
+        store_now_ms: u64,
         token: u64,
     ) {
         let sent_at = self.now();
@@ -181,7 +185,7 @@
             holder: self.name().to_owned(),
             incarnation: self.settings.record.incarnation,
             token,
-            ends_ms: store_ms + millis(LEASE_TTL),
+            ends_ms: store_now_ms + millis(LEASE_TTL),
         };
         match self.platform.write_lease(version, &lease).await {
             Ok(LeaseWrite::Written { version, .. }) => {
@@ -205,8 +209,8 @@
     /// Drops the lease if it expired and an instance that reaches the store may have acquired it.
     fn check_expiry(&self, held: &RefCell<HeldLease>) {
         let expired = held.borrow().valid_until.is_none_or(|until| self.now() > until);
-        let replaced = self.peers.live().iter().any(|peer| peer.status().store_reachable);
-        if expired && replaced {
+        let may_be_replaced = self.peers.live().iter().any(|peer| peer.status().store_reachable);
+        if expired && may_be_replaced {
             self.drop_lease(held, "the lease expired");
         }
     }
@@ -334,7 +338,7 @@
         }
     }
 
-    /// Records the member that reports to lead in the newest term, and returns its name.
+    /// Records the member that reports to be the leader of the newest term, and returns its name.
     fn record_reports(
         &self,
         members: &[String],
@@ -388,6 +392,9 @@
         false
     }
 
+    /// Requests a promotion and returns whether it was accepted.
+    ///
+    /// Uses a new fencing token if a request with the current one was rejected or not answered.
     async fn request_promotion(
         &self,
         service: &str,
@@ -401,8 +408,8 @@
             };
             let remaining = valid_until
                 .map_or(Duration::ZERO, |until| until.saturating_duration_since(self.now()));
-            let store_now = held.borrow().lease.ends_ms.saturating_sub(millis(remaining));
-            self.write_lease(held, version, store_now, token).await;
+            let store_now_ms = held.borrow().lease.ends_ms.saturating_sub(millis(remaining));
+            self.write_lease(held, version, store_now_ms, token).await;
         }
         let Some(token) = self.promotion_token() else {
             return false;
--- a/crates/engine/src/instance.rs
+++ b/crates/engine/src/instance.rs
@@ -163,12 +163,13 @@
             && validation_age.is_none_or(|current| current > age)
     }
 
-    /// Records that the store, queried at `asked_at`, had no document newer than the cached one.
-    pub fn record_document_validation(&self, asked_at: Instant) {
+    /// Records that the store had no document newer than the cached one in answer to a request sent
+    /// at `sent_at`.
+    pub fn record_document_validation(&self, sent_at: Instant) {
         let [version, _] = self.tables.borrow().versions();
         let mut tracker = self.validation.borrow_mut();
         tracker.adopt(version);
-        tracker.record_store_version(asked_at, version);
+        tracker.record_store_version(sent_at, version);
     }
 
     /// Logs a change of [`Self::is_document_validated`] since the last call.
--- a/crates/engine/src/interface.rs
+++ b/crates/engine/src/interface.rs
@@ -182,7 +182,7 @@
         id: String,
         /// Text as sent by the caller.
         text: String,
-        /// Kind of statement.
+        /// Class of the statement.
         class: StatementClass,
     },
     /// Ends the session.
@@ -276,7 +276,7 @@
     BeginRead,
     /// Rolls the open transaction back.
     Rollback,
-    /// Resets session values and removes prepared statements.
+    /// Resets session settings and removes prepared statements.
     Reset,
     /// Requests the role, term and log position of a member.
     Status,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -2,7 +2,7 @@
 //! to peer instances and failover.
 //!
 //! Decisions are made by the state machines in `coord`. This crate does the input and output,
-//! through the traits in [`link`].
+//! through the traits in [`interface`].
 
 pub mod admission;
 pub mod caller;
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -15,7 +15,7 @@
 
 /// Maximum size of a message; a document or the largest answer fits.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// Size of the length prefix.
+/// Size of the length prefix of a message.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Error of encoding or decoding a message.
@@ -42,7 +42,7 @@
     pub endpoint: String,
     /// Team on whose behalf the statements run.
     pub team: String,
-    /// Number of the transaction on the sending instance; zero for none.
+    /// Identifier of the transaction, unique on the sending instance; zero for none.
     pub transaction_id: u32,
     /// The transaction already has a pinned connection.
     pub pinned: bool,
@@ -54,10 +54,10 @@
     pub start_timeout_ms: u32,
     /// Maximum time until the last answer, in milliseconds.
     pub answer_timeout_ms: u32,
-    /// Identifier of the session values and prepared statements that the connection must have;
+    /// Identifier of the session settings and prepared statements that the connection must have;
     /// zero for none.
     pub setup_id: u64,
-    /// Statements that set up the connection accordingly, as sent to the endpoint.
+    /// Statements that apply these settings to a connection, as sent to the endpoint.
     pub setup_bytes: Vec<u8>,
     /// Number of statements in `setup_bytes`.
     pub setup_count: u8,
@@ -90,7 +90,7 @@
     pub position: Option<LogPosition>,
 }
 
-/// Reason for which statements were not sent to an endpoint.
+/// Reason why statements were not sent to an endpoint.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum NotSentReason {
     /// The connection owner cannot reach the endpoint.
@@ -145,7 +145,7 @@
     /// Expected queueing time of the next request, in milliseconds.
     pub queue_wait_ms: u32,
     /// Newest watermark of the service: a log position confirmed by its leader, and the age of the
-    /// confirmation in milliseconds.
+    /// confirmation in milliseconds, rounded up.
     pub watermark: Option<(LogPosition, u32)>,
 }
 
@@ -197,26 +197,26 @@
     Hello(InstanceRecord),
     /// Checks that the receiver is alive, and requests its status if it changed.
     Ping {
-        /// Number of the ping, repeated in the answer.
+        /// Identifier of the ping, repeated in the answer.
         ping_id: u32,
         /// Version of the status that the sender already has.
         known_version: u32,
     },
     /// Runs statements.
     Execute {
-        /// Number of the call, repeated in the answer.
+        /// Identifier of the call, repeated in the answer.
         call_id: u32,
         /// Statements to run.
         body: Box<ExecuteCall>,
     },
     /// Rolls a transaction back and releases its connection.
     Release {
-        /// Number of the transaction on the sending instance.
+        /// Identifier of the transaction, unique on the sending instance.
         transaction_id: u32,
     },
     /// Requests admission of an operation from the team's quota owner.
     Admit {
-        /// Number of the call, repeated in the answer.
+        /// Identifier of the call, repeated in the answer.
         call_id: u32,
         /// Team.
         team: String,
@@ -227,7 +227,7 @@
     },
     /// Requests an indirect probe: whether the receiver reaches an endpoint on a new connection.
     Probe {
-        /// Number of the call, repeated in the answer.
+        /// Identifier of the call, repeated in the answer.
         call_id: u32,
         /// Endpoint.
         endpoint: String,
@@ -241,7 +241,7 @@
     },
     /// Requests all rows of a cached table.
     Table {
-        /// Number of the call, repeated in the answer.
+        /// Identifier of the call, repeated in the answer.
         call_id: u32,
         /// Table.
         table: WatchedTable,
@@ -253,7 +253,7 @@
 pub enum PeerReply {
     /// Answer to [`PeerRequest::Ping`], or a status update without one.
     Pong {
-        /// Number of the ping; zero for a status update without one.
+        /// Identifier of the ping; zero for a status update without one.
         ping_id: u32,
         /// Validation of the sender's document, if a revocation bound is set.
         validation: Option<DocumentValidation>,
@@ -264,28 +264,28 @@
     },
     /// Answer to [`PeerRequest::Execute`].
     Execute {
-        /// Number of the call.
+        /// Identifier of the call.
         call_id: u32,
         /// Reply of the connection owner.
         body: Box<ExecuteReply>,
     },
     /// Answer to [`PeerRequest::Admit`].
     Admit {
-        /// Number of the call.
+        /// Identifier of the call.
         call_id: u32,
         /// Decision of the quota owner.
         decision: AdmissionDecision,
     },
     /// Answer to [`PeerRequest::Probe`].
     Probe {
-        /// Number of the call.
+        /// Identifier of the call.
         call_id: u32,
         /// The endpoint answered the probe.
         reached: bool,
     },
     /// Answer to [`PeerRequest::Table`].
     Table {
-        /// Number of the call.
+        /// Identifier of the call.
         call_id: u32,
         /// All rows, including removed ones.
         rows: Vec<StoredRow>,
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -20,22 +20,23 @@
 use crate::peer_link::{OutputQueue, PING_TIMEOUT, PeerLink, StatusPublisher, close_link};
 use crate::record::InstanceRecord;
 
-/// Timeout of opening a connection to another instance.
+/// Bounds the opening of a connection to a peer instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Delay between attempts to connect to another instance.
+/// Delay between attempts to connect to a peer.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(250);
-/// Interval of the ping loop; instances with calls in flight are pinged every time.
+/// Interval of the ping loop; peers with calls in flight are pinged every time.
 const PING_INTERVAL: Duration = Duration::from_millis(200);
-/// Time without a response after which an instance without calls in flight is pinged.
+/// Time without a response after which a peer without calls in flight is pinged.
 const IDLE_PING_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Time without a ping after which an inbound connection is closed and its transactions end.
+/// Time without a request after which an inbound connection is closed and its transactions are
+/// rolled back.
 const INBOUND_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Time after which an unreachable instance is no longer known.
+/// Time after which the link to an unreachable peer is removed.
 const UNREACHABLE_PEER_TTL: Duration = Duration::from_secs(20);
-/// Buffer space reserved for each read.
+/// Free space reserved before each read, in bytes.
 const READ_CHUNK_BYTES: usize = 8_192;
 
-/// Table of connections to all other known instances.
+/// Table of the links to all known peer instances.
 #[derive(Debug)]
 pub struct PeerTable {
     own: InstanceRecord,
@@ -43,22 +44,22 @@
 }
 
 impl PeerTable {
-    /// Creates a table without connections.
+    /// Creates a table without links.
     pub fn new(own: InstanceRecord) -> Self {
         Self { own, links: RefCell::default() }
     }
 
-    /// Returns the connection to an instance by its name.
+    /// Returns the link to a peer by its name.
     pub fn link(&self, name: &str) -> Option<Rc<PeerLink>> {
         self.links.borrow().get(name).cloned()
     }
 
-    /// Returns the connections to all reachable instances.
+    /// Returns the links to all reachable peers.
     pub fn live(&self) -> Vec<Rc<PeerLink>> {
         self.links.borrow().values().filter(|link| link.is_live()).cloned().collect()
     }
 
-    /// Returns the number of known instances, including this one.
+    /// Returns the number of known instances, including this one and unreachable ones.
     pub fn registered_count(&self) -> usize {
         self.links.borrow().len() + 1
     }
@@ -110,7 +111,7 @@
         owners
     }
 
-    /// Connects to a discovered instance, or reconnects if its registration changed.
+    /// Opens a link to a discovered instance, or replaces it if the registration changed.
     pub fn connect_peer(self: &Rc<Self>, record: InstanceRecord) {
         if record.name == self.name() {
             return;
@@ -125,12 +126,11 @@
         }
         let link = Rc::new(PeerLink::new(record, self.now()));
         self.peers.links.borrow_mut().insert(link.record.name.clone(), link.clone());
-        let node = self.clone();
-        tokio::task::spawn_local(async move { node.maintain_link(link).await });
+        let instance = self.clone();
+        tokio::task::spawn_local(async move { instance.maintain_link(link).await });
     }
 
-    /// Keeps a connection to another instance open until it is replaced or unreachable for too
-    /// long.
+    /// Keeps a link connected until it is replaced or its peer is unreachable for too long.
     async fn maintain_link(self: Rc<Self>, link: Rc<PeerLink>) {
         while !link.superseded.get() {
             let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(link.record.address)).await;
@@ -172,10 +172,10 @@
         }
     }
 
-    /// Pings the other instances, and closes connections whose ping times out.
+    /// Pings the peers, and closes connections whose ping times out.
     ///
-    /// Instances with calls in flight are pinged at every interval, others only when idle for
-    /// longer: among many instances, most pairs have no traffic.
+    /// Peers with calls in flight are pinged at every interval, others only when idle for longer:
+    /// among many instances, most pairs have no traffic.
     pub async fn ping_peers(self: Rc<Self>) {
         loop {
             sleep(PING_INTERVAL).await;
@@ -202,6 +202,8 @@
                         ping_id,
                         known_version: link.status_version.get(),
                     });
+                    // Only the answer to the recorded ping is accepted. Recording each newer ping
+                    // would discard all answers that take longer than the ping interval.
                     if link
                         .validation_ping
                         .get()
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Records the document validation of another instance.
+    /// Records the document validation of a peer.
     ///
     /// Its age counts from the time the ping was sent, so that the delay of the answer cannot make
     /// it look newer.
@@ -272,22 +274,22 @@
         };
         link.validation_ping.set(None);
         let [version, _] = self.tables.borrow().versions();
-        let mut confirmation = self.validation.borrow_mut();
-        confirmation.adopt(version);
-        let answer = HeartbeatOutcome::Answered {
+        let mut tracker = self.validation.borrow_mut();
+        tracker.adopt(version);
+        let outcome = HeartbeatOutcome::Answered {
             version: validation.version,
             validation_age: Some(Duration::from_millis(validation.age_ms.into())),
             store_down: false,
         };
-        confirmation.record_peer(ping_id.into(), sent_at, answer);
+        tracker.record_peer(ping_id.into(), sent_at, outcome);
     }
 
-    /// Returns the validation of the own document for other instances.
+    /// Returns the validation of the own document for peers.
     fn document_validation(&self) -> Option<DocumentValidation> {
         self.settings.revocation_bound?;
-        let confirmation = self.validation.borrow();
-        let age = confirmation.validation_age(self.now())?;
-        Some(DocumentValidation { version: confirmation.version(), age_ms: millis(age) + 1 })
+        let tracker = self.validation.borrow();
+        let age = tracker.validation_age(self.now())?;
+        Some(DocumentValidation { version: tracker.version(), age_ms: millis(age) + 1 })
     }
 
     fn record_leaders(&self, status: &InstanceStatus) {
@@ -302,13 +304,13 @@
         }
     }
 
-    /// Accepts connections from other instances.
+    /// Accepts connections from peers.
     pub async fn accept_peers(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let node = self.clone();
-                    tokio::task::spawn_local(async move { node.serve_peer(stream).await });
+                    let instance = self.clone();
+                    tokio::task::spawn_local(async move { instance.serve_peer(stream).await });
                 }
                 Err(error) => {
                     log_event!(LogEvent::PeerLost, "cause=\"accept failed: {error}\"");
@@ -343,7 +345,7 @@
         let mut input = BytesMut::new();
         loop {
             input.reserve(READ_CHUNK_BYTES);
-            // The other side pings regularly; without a ping its transactions must not stay open.
+            // The peer pings regularly; without a ping its transactions must not stay open.
             match timeout(INBOUND_IDLE_TIMEOUT, reader.read_buf(&mut input)).await {
                 Ok(Ok(0) | Err(_)) | Err(_) => return,
                 Ok(Ok(_)) => {}
@@ -373,7 +375,7 @@
         }
     }
 
-    /// Sends the status when it changes in a way that others must learn without a ping.
+    /// Sends the status when it changes in a way that peers must learn without a ping.
     async fn push_status(&self, output: &OutputQueue, publisher: &StatusPublisher) {
         loop {
             self.status_changed.notified().await;
@@ -390,13 +392,14 @@
         output: &Rc<OutputQueue>,
         request: PeerRequest,
     ) {
-        let (node, output) = (self.clone(), output.clone());
+        let (instance, output) = (self.clone(), output.clone());
         match request {
             PeerRequest::Hello(record) => self.connect_peer(record),
+            // Answered by `read_peer`, which has the publisher of the status.
             PeerRequest::Ping { .. } => {}
             PeerRequest::Execute { call_id, body } => {
                 tokio::task::spawn_local(async move {
-                    let body = Box::new(node.execute_locally(origin, *body).await);
+                    let body = Box::new(instance.execute_locally(origin, *body).await);
                     output.push(&PeerReply::Execute { call_id, body });
                 });
             }
@@ -408,7 +411,7 @@
             }
             PeerRequest::Probe { call_id, endpoint } => {
                 tokio::task::spawn_local(async move {
-                    let reached = node.probe_member(&endpoint).await.is_some();
+                    let reached = instance.probe_member(&endpoint).await.is_some();
                     output.push(&PeerReply::Probe { call_id, reached });
                 });
             }
--- a/crates/engine/src/peer_link.rs
+++ b/crates/engine/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! Outgoing connection to a peer instance, and the calls in flight on it.
+//! Link to a peer instance: its outgoing connection and the calls in flight on it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -119,7 +119,7 @@
     pub(crate) table: ReplySenders<(Vec<StoredRow>, u64)>,
 }
 
-/// Link to a peer instance, kept open by this instance.
+/// Link to a peer instance, which this instance reconnects when the connection is lost.
 #[derive(Debug)]
 pub struct PeerLink {
     /// Registration of the peer.
@@ -127,16 +127,19 @@
     /// Output of the open connection; set once the peer has responded on it.
     pub(crate) output: RefCell<Option<Rc<OutputQueue>>>,
     pub(crate) pending: RefCell<PendingCalls>,
+    /// Next identifier of a call or ping.
     pub(crate) next_call_id: Cell<u32>,
     /// Output of the open connection, whether the peer has responded on it or not.
     pub(crate) open_output: RefCell<Option<Rc<OutputQueue>>>,
     pub(crate) last_response_at: Cell<Option<Instant>>,
     /// Time of the oldest unanswered ping.
     pub(crate) unanswered_since: Cell<Option<Instant>>,
-    /// Number and time of the ping whose answer may validate the document.
+    /// Identifier and time of the ping whose answer may validate the document.
     pub(crate) validation_ping: Cell<Option<(u32, Instant)>>,
     pub(crate) unreachable_since: Cell<Option<Instant>>,
+    /// Version of `status` on the open connection; zero before the first one.
     pub(crate) status_version: Cell<u32>,
+    /// Last reported status of the peer.
     pub(crate) status: RefCell<InstanceStatus>,
     /// A newer registration of the peer has replaced this link.
     pub(crate) superseded: Cell<bool>,
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -27,7 +27,7 @@
     pub(crate) idle_since: Instant,
 }
 
-/// Connection pinned to an open transaction.
+/// Connection taken from its pool, to return to it or to stay pinned to an open transaction.
 #[derive(Debug)]
 pub(crate) struct PinnedConnection {
     pub(crate) pool: Rc<EndpointPool>,
@@ -50,6 +50,7 @@
     /// Notified when a connection is returned or closed.
     pub(crate) connection_freed: Notify,
     pub(crate) unreachable_since: Cell<Option<Instant>>,
+    /// Time of the last attempt to open a connection, or of the last failed probe.
     pub(crate) last_attempt_at: Cell<Option<Instant>>,
     pub(crate) last_response_at: Cell<Option<Instant>>,
     pub(crate) probe_in_flight: Cell<bool>,
@@ -78,12 +79,14 @@
 impl EndpointPool {
     /// Grants free permits to queued requests.
     pub(crate) fn grant_permits(&self, now: Instant) {
+        // Dropping the senders of expired requests ends their wait.
         let mut expired = Vec::new();
         loop {
             let next = self.queue.borrow_mut().pop(now, &mut expired);
             let Some(sender) = next else {
                 break;
             };
+            // The request has stopped waiting: its permit is released without a run time.
             if sender.send(()).is_err() {
                 self.queue.borrow_mut().release(0, 0, Duration::ZERO);
             }
@@ -125,7 +128,7 @@
 pub(crate) enum AcquireError {
     /// The endpoint cannot be reached.
     Unreachable,
-    /// No connection became available in time.
+    /// No connection became available in time, or the endpoint refused one for capacity.
     Full,
 }
 
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -21,7 +21,7 @@
 
 /// Maximum attempts of one statement, over all endpoints.
 const MAX_ATTEMPTS: usize = 24;
-/// Delay before a retry while the service has no leader.
+/// Delay before a retry while the service has no leader or its endpoint cannot be reached.
 const NO_LEADER_BACKOFF: Duration = Duration::from_millis(25);
 /// Delay before a retry after an endpoint had no capacity.
 const BUSY_BACKOFF: Duration = Duration::from_millis(8);
@@ -39,7 +39,7 @@
     pub owner: String,
     /// Endpoint that runs the transaction.
     pub endpoint: String,
-    /// Number of the transaction on the instance of its session.
+    /// Identifier of the transaction, unique on the instance of its session.
     pub transaction_id: u32,
 }
 
@@ -57,7 +57,7 @@
     pub text: &'a str,
     /// State machine of the session.
     pub session_state: &'a SessionMachine,
-    /// Number of the session, unique over all instances.
+    /// Identifier of the session, unique over all instances.
     pub session_id: u64,
     /// Session settings that the pinned connection of the transaction does not have yet.
     pub pending_setup: Vec<String>,
@@ -95,8 +95,10 @@
     bytes: Vec<u8>,
     /// Number of statements in `bytes`.
     count: u8,
-    /// Index of the answer that is returned to the caller.
+    /// Index of the answer that is returned to the caller, counted like `confirming_answer`.
     answer: u8,
+    /// Index of the answer whose success confirms that the endpoint is the leader, counted from the
+    /// answer to `begin_bytes` if there is one.
     confirming_answer: Option<u8>,
     keep_pinned: bool,
     retryable: bool,
@@ -126,8 +128,8 @@
             return self.run_pinned(context, pinned).await;
         }
         let max_wait = context.route.target_latency.mul_f64(ADMISSION_TIMEOUT_FRACTION);
-        if let Err(wait) = self.admit(context.team, context.route.priority, max_wait).await {
-            return not_run("over the limit of the team", wait);
+        if let Err(retry_after) = self.admit(context.team, context.route.priority, max_wait).await {
+            return not_run("over the limit of the team", retry_after);
         }
         // Deadlines count from the statement, not from the begin of its transaction: the caller may
         // have been idle in between.
@@ -244,16 +246,16 @@
         let required = context.route.consistency.max_staleness().and_then(|max_staleness| {
             let watermarks = directory.watermarks(service)?;
             let watermark = watermarks.oldest_within(context.plan.began_at, max_staleness)?;
-            let own = match context.route.consistency {
+            let last_commit = match context.route.consistency {
                 RouteConsistency::ReadYourWrites { .. } => context.session_state.last_commit(),
                 _ => None,
             };
-            Some(WatermarkRing::required_position(watermark, own))
+            Some(WatermarkRing::required_position(watermark, last_commit))
         });
         let zone = &self.settings.record.zone;
         let order = directory.read_candidates(service, zone, required, now);
-        let replica = order.into_iter().find(|(name, _)| untried(name));
-        match replica {
+        let candidate = order.into_iter().find(|(name, _)| untried(name));
+        match candidate {
             Some((endpoint, leads)) => Some((endpoint, leads, required)),
             // The leader may be a member other than the one known to this instance.
             None => {
@@ -273,25 +275,25 @@
         deadline: Instant,
     ) -> AttemptOutcome {
         let batch = build_batch::<E::Codec>(context, leads, required);
-        let (answer, confirming_answer, keep_pinned) =
+        let (answer_index, confirming_answer_index, keep_pinned) =
             (batch.answer, batch.confirming_answer, batch.keep_pinned);
         let transaction_id = if keep_pinned { self.new_transaction_id() } else { 0 };
         let call = self.build_call(context, endpoint, batch, transaction_id);
         let sent_at = self.now();
-        let routed = self.dispatch(call, latest_start, deadline).await;
-        match routed.reply.outcome {
+        let owner_reply = self.dispatch(call, latest_start, deadline).await;
+        match owner_reply.reply.outcome {
             ExecuteOutcome::Answered(answers) => {
-                if let Some(confirmation) =
-                    confirming_answer.and_then(|index| answers.get(usize::from(index)))
+                if let Some(confirming_answer) =
+                    confirming_answer_index.and_then(|index| answers.get(usize::from(index)))
                 {
-                    self.observe_leadership(endpoint, confirmation, sent_at);
+                    self.observe_leadership(endpoint, confirming_answer, sent_at);
                 }
                 let transaction = PinnedTransaction {
-                    owner: routed.owner,
+                    owner: owner_reply.owner,
                     endpoint: endpoint.to_owned(),
                     transaction_id,
                 };
-                classify_answers(context, answers, answer, keep_pinned.then_some(transaction))
+                classify_answers(context, answers, answer_index, keep_pinned.then_some(transaction))
             }
             ExecuteOutcome::NotSent { reason, retry_ms } => AttemptOutcome::Retry {
                 code: RefusalCode::Busy,
@@ -314,17 +316,19 @@
         batch: StatementBatch,
         transaction_id: u32,
     ) -> ExecuteCall {
-        let version = context.session_state.setup_version();
+        let setup_version = context.session_state.setup_version();
         let mut setup_bytes = Vec::new();
+        // Counts the reset that precedes the session's own statements.
         let mut setup_count = 1;
         E::Codec::encode_control(&mut setup_bytes, ControlStatement::Reset);
         for text in context.session_state.setup_statements() {
             E::Codec::encode_control(&mut setup_bytes, ControlStatement::Setup(text));
             setup_count += 1;
         }
-        let setup_id = match version {
+        // Differs between sessions and between versions of a session's settings.
+        let setup_id = match setup_version {
             0 => 0,
-            _ => context.session_id.rotate_left(20) ^ u64::from(version),
+            _ => context.session_id.rotate_left(20) ^ u64::from(setup_version),
         };
         ExecuteCall {
             endpoint: endpoint.to_owned(),
@@ -408,12 +412,12 @@
 fn classify_answers(
     context: &StatementContext<'_>,
     answers: Vec<StatementAnswer>,
-    answer: u8,
+    answer_index: u8,
     transaction: Option<PinnedTransaction>,
 ) -> AttemptOutcome {
-    let error = answers.iter().take(usize::from(answer) + 1).find_map(|answer| answer.error);
+    let error = answers.iter().take(usize::from(answer_index) + 1).find_map(|answer| answer.error);
     let Some(code) = error else {
-        return AttemptOutcome::Done(build_result(answers, answer, transaction));
+        return AttemptOutcome::Done(build_result(answers, answer_index, transaction));
     };
     let retry = |cause| AttemptOutcome::Retry { code, cause, backoff: BUSY_BACKOFF };
     match code {
@@ -427,18 +431,19 @@
         RefusalCode::Failed | RefusalCode::Timeout if context.plan.read_only => {
             retry("member_failed")
         }
-        _ => AttemptOutcome::Done(build_result(answers, answer, transaction)),
+        _ => AttemptOutcome::Done(build_result(answers, answer_index, transaction)),
     }
 }
 
 /// Builds the result for the caller from the answers of a member.
 fn build_result(
     mut answers: Vec<StatementAnswer>,
-    answer: u8,
+    answer_index: u8,
     transaction: Option<PinnedTransaction>,
 ) -> StatementResult {
-    let first_error = answers.iter().take(usize::from(answer)).find_map(|answer| answer.error);
-    let index = usize::from(answer).min(answers.len().saturating_sub(1));
+    let first_error =
+        answers.iter().take(usize::from(answer_index)).find_map(|answer| answer.error);
+    let index = usize::from(answer_index).min(answers.len().saturating_sub(1));
     let answer = answers.swap_remove(index);
     match (first_error, answer.error) {
         (None, None) => StatementResult::Success {
--- a/crates/engine/src/tables.rs
+++ b/crates/engine/src/tables.rs
@@ -24,6 +24,7 @@
 #[derive(Debug, Default)]
 pub struct TableCache {
     rows: HashMap<String, StoredRow>,
+    /// Version up to which changes were received.
     version: u64,
 }
 
@@ -60,6 +61,8 @@
             .rows
             .values()
             .filter(is_missing)
+            // The snapshot does not state the version of the removal; any version above the cached
+            // one replaces the row.
             .map(|known| StoredRow { version: known.version + 1, value: None, ..known.clone() })
             .collect();
         let mut changed = self.merge_changes(removed);
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -30,7 +30,7 @@
 const DELEGATION_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between comparisons with the table caches of other instances.
 const ANTI_ENTROPY_INTERVAL: Duration = Duration::from_millis(300);
-/// Timeout of a table request to another instance.
+/// Bounds the wait for a table from another instance.
 const TABLE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Interval between reads of the registered instances.
 const DISCOVERY_INTERVAL: Duration = Duration::from_secs(12);
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Returns whether another instance of this availability zone reads the store on its behalf.
+    /// Returns whether another instance of this availability zone reads the store on behalf of this
+    /// one.
     fn has_zone_reader(&self) -> bool {
         let zone = &self.settings.record.zone;
         let readers = self.peers.live().into_iter().filter(|peer| {
@@ -182,6 +183,8 @@
     }
 
     /// Compares table caches with those of other instances and fetches newer ones.
+    ///
+    /// Also removes endpoints whose registration vanished long ago.
     pub async fn run_anti_entropy(self: Rc<Self>) {
         let mut behind = [false; 2];
         loop {
