--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -75,8 +75,8 @@
     pub async fn track_reachability(self: Rc<Self>) {
         loop {
             let reached = self.peers.live().len() + 1;
-            let registered = self.peers.registered_count();
-            self.quotas.borrow_mut().record_reachable(reached, registered, self.now());
+            let known = self.peers.known_count();
+            self.quotas.borrow_mut().record_reachable(reached, known, self.now());
             sleep(REACHABILITY_INTERVAL).await;
         }
     }
--- a/crates/engine/src/caller.rs
+++ b/crates/engine/src/caller.rs
@@ -115,8 +115,8 @@
 impl<E: EngineTypes> CallerSession<E> {
     /// Handles the startup request. Returns `None` if the session was not opened.
     async fn open(&mut self) -> Option<()> {
-        let first = timeout(STARTUP_TIMEOUT, self.next_line()).await;
-        let Ok(Some(length)) = first else {
+        let first_line = timeout(STARTUP_TIMEOUT, self.next_line()).await;
+        let Ok(Some(length)) = first_line else {
             return None;
         };
         let request = E::Codec::decode_request(self.input.line(length));
@@ -315,7 +315,7 @@
             team,
             request_id: id,
             text,
-            session_state: &self.machine,
+            machine: &self.machine,
             session_id: self.session_id,
             pending_setup,
             arrived_at: self.arrived_at,
--- a/crates/engine/src/connection_owner.rs
+++ b/crates/engine/src/connection_owner.rs
@@ -29,7 +29,7 @@
     ExecuteCall, ExecuteOutcome, ExecuteReply, NotSentReason, StatementAnswer, millis,
 };
 use crate::pool::{
-    AcquireError, EndpointPool, IdleConnection, PinnedConnection, RECONNECT_BACKOFF, RunPermit,
+    AcquireError, EndpointPool, IdleConnection, PooledConnection, RECONNECT_BACKOFF, RunPermit,
     acquire_idle, remove_oldest_idle,
 };
 
@@ -60,7 +60,7 @@
 #[derive(Debug, Default)]
 pub struct ConnectionPools {
     by_endpoint: RefCell<HashMap<String, Rc<EndpointPool>>>,
-    pinned: RefCell<HashMap<(CallOrigin, u32), PinnedConnection>>,
+    pinned: RefCell<HashMap<(CallOrigin, u32), PooledConnection>>,
     live_origins: RefCell<HashMap<CallOrigin, ()>>,
     next_origin: Cell<CallOrigin>,
 }
@@ -116,7 +116,7 @@
         call: ExecuteCall,
     ) -> ExecuteReply {
         let Some(pool) = self.pool(&call.endpoint) else {
-            return refused_reply(NotSentReason::UnknownEndpoint, 0);
+            return not_sent_reply(NotSentReason::UnknownEndpoint, 0);
         };
         let outcome = self.execute_in_pool(&pool, origin, &call).await;
         let now = self.now();
@@ -312,7 +312,7 @@
                 }
                 Err(AcquireError::Full) => {
                     let retry =
-                        pool.queue.borrow().expected_team_wait(permit.priority, permit.team);
+                        pool.queue.borrow().expected_team_wait(permit.priority, permit.team_hash);
                     return not_sent(NotSentReason::NoConnection, retry);
                 }
             }
@@ -333,9 +333,14 @@
         ExecuteOutcome::Answered(answers)
     }
 
-    fn new_permit(&self, pool: &Rc<EndpointPool>, priority: PriorityLevel, team: u64) -> RunPermit {
+    fn new_permit(
+        &self,
+        pool: &Rc<EndpointPool>,
+        priority: PriorityLevel,
+        team_hash: u64,
+    ) -> RunPermit {
         let (clock, acquired_at) = (self.clock.clone(), self.now());
-        RunPermit { pool: pool.clone(), clock, priority, team, acquired_at }
+        RunPermit { pool: pool.clone(), clock, priority, team_hash, acquired_at }
     }
 
     /// Acquires a permit, or returns the expected wait if the call would start too late.
@@ -345,24 +350,25 @@
         call: &ExecuteCall,
         now: Instant,
     ) -> Result<RunPermit, Duration> {
-        let (priority, team) = (call.priority, team_hash(&call.team));
+        let (priority, team_hash) = (call.priority, team_hash(&call.team));
         if pool.queue.borrow_mut().try_acquire(priority) {
-            return Ok(self.new_permit(pool, priority, team));
+            return Ok(self.new_permit(pool, priority, team_hash));
         }
         let wait = Duration::from_millis(call.start_timeout_ms.into());
         let (sender, mut receiver) = oneshot::channel();
-        let pushed = pool.queue.borrow_mut().push(priority, team, sender, now + wait, now);
-        let expected = |pool: &EndpointPool| pool.queue.borrow().expected_team_wait(priority, team);
+        let pushed = pool.queue.borrow_mut().push(priority, team_hash, sender, now + wait, now);
+        let expected =
+            |pool: &EndpointPool| pool.queue.borrow().expected_team_wait(priority, team_hash);
         if pushed.is_err() {
             return Err(expected(pool));
         }
         match timeout(wait, &mut receiver).await {
-            Ok(Ok(())) => Ok(self.new_permit(pool, priority, team)),
+            Ok(Ok(())) => Ok(self.new_permit(pool, priority, team_hash)),
             Ok(Err(_)) => Err(expected(pool)),
             Err(_) => {
                 receiver.close();
                 match receiver.try_recv() {
-                    Ok(()) => Ok(self.new_permit(pool, priority, team)),
+                    Ok(()) => Ok(self.new_permit(pool, priority, team_hash)),
                     Err(_) => Err(expected(pool)),
                 }
             }
@@ -482,8 +488,8 @@
         call: &ExecuteCall,
     ) -> Option<Vec<StatementAnswer>> {
         let needs_setup = call.pinned || connection.applied_setup_id != call.setup_id;
-        let setup_answers = if needs_setup { call.setup_count } else { 0 };
-        let setup_bytes = if setup_answers > 0 { call.setup_bytes.as_slice() } else { &[] };
+        let setup_count = if needs_setup { call.setup_count } else { 0 };
+        let setup_bytes = if setup_count > 0 { call.setup_bytes.as_slice() } else { &[] };
         let opens_transaction = !call.begin_bytes.is_empty();
         let first_bytes = if opens_transaction { &call.begin_bytes } else { &call.bytes };
         if setup_bytes.is_empty() {
@@ -494,19 +500,19 @@
         if !call.pinned {
             connection.applied_setup_id = call.setup_id;
         }
-        for _ in 0..setup_answers {
+        for _ in 0..setup_count {
             let answer = self.read_answer_or_probe(pool, connection, call).await?;
             if answer.error.is_some() {
                 connection.applied_setup_id = UNKNOWN_SETUP_ID;
             }
         }
         if opens_transaction {
-            let opened = self.read_answer_or_probe(pool, connection, call).await?;
-            if opened.error.is_some() {
-                return Some(vec![opened]);
+            let begin_answer = self.read_answer_or_probe(pool, connection, call).await?;
+            if begin_answer.error.is_some() {
+                return Some(vec![begin_answer]);
             }
             connection.send(&call.bytes).await.ok()?;
-            let mut answers = vec![opened];
+            let mut answers = vec![begin_answer];
             for _ in 0..call.count {
                 answers.push(self.read_answer_or_probe(pool, connection, call).await?);
             }
@@ -541,14 +547,14 @@
                     if call.retryable && pool.unreachable_since.get().is_some() {
                         return None;
                     }
-                    self.probe_if_silent(pool);
+                    self.probe_if_stalled(pool);
                 }
             }
         }
     }
 
     /// Probes an endpoint if none of its connections has had a response for [`STALL_TIMEOUT`].
-    fn probe_if_silent(self: &Rc<Self>, pool: &Rc<EndpointPool>) {
+    fn probe_if_stalled(self: &Rc<Self>, pool: &Rc<EndpointPool>) {
         let now = self.now();
         let responded_recently = |at: Instant| now.saturating_duration_since(at) < STALL_TIMEOUT;
         if !pool.last_response_at.get().is_some_and(responded_recently) {
@@ -591,7 +597,7 @@
             directory.update_view(&pool.endpoint, |view| view.position = Some((position, now)));
         }
         let Some(confirming_answer) =
-            call.confirming_answer.and_then(|index| answers.get(usize::from(index)))
+            call.confirming_answer_index.and_then(|index| answers.get(usize::from(index)))
         else {
             return;
         };
@@ -626,7 +632,7 @@
         answers: &[StatementAnswer],
     ) {
         let state = answers.last().map_or(TransactionState::Failed, |answer| answer.state);
-        let pooled = PinnedConnection { pool: pool.clone(), team: call.team.clone(), connection };
+        let pooled = PooledConnection { pool: pool.clone(), team: call.team.clone(), connection };
         // A failed statement may leave the transaction open at the endpoint, but its session
         // abandons it.
         let failed = answers.iter().any(|answer| answer.error.is_some());
@@ -641,15 +647,15 @@
     }
 
     /// Returns a connection to its pool.
-    fn return_idle(&self, pooled: PinnedConnection) {
-        let PinnedConnection { pool, team, connection } = pooled;
+    fn return_idle(&self, pooled: PooledConnection) {
+        let PooledConnection { pool, team, connection } = pooled;
         let idle_since = self.now();
         pool.idle.borrow_mut().push(IdleConnection { team, connection, idle_since });
         pool.connection_freed.notify_one();
     }
 
     /// Rolls back on a connection and returns it to its pool, or closes it if that fails.
-    fn roll_back(self: &Rc<Self>, mut pooled: PinnedConnection) {
+    fn roll_back(self: &Rc<Self>, mut pooled: PooledConnection) {
         let instance = self.clone();
         tokio::task::spawn_local(async move {
             let mut bytes = Vec::new();
@@ -682,7 +688,7 @@
     rendezvous::weight(team, "")
 }
 
-fn refused_reply(reason: NotSentReason, queue_wait_ms: u32) -> ExecuteReply {
+fn not_sent_reply(reason: NotSentReason, queue_wait_ms: u32) -> ExecuteReply {
     ExecuteReply { outcome: not_sent(reason, Duration::ZERO), queue_wait_ms, watermark: None }
 }
 
--- a/crates/engine/src/failover.rs
+++ b/crates/engine/src/failover.rs
@@ -33,12 +33,12 @@
 /// Bounds the wait for the answer to an indirect probe.
 const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(450);
 /// Maximum number of instances asked for an indirect probe of a leader.
-const INDIRECT_PROBES: usize = 2;
+const MAX_INDIRECT_PROBES: usize = 2;
 /// Maximum probes of a promoted member until it confirms that it is the leader; after that, the
 /// other instances discover it by their own statements.
-const MAX_PROMOTION_POLLS: usize = 12;
+const MAX_PROMOTION_PROBES: usize = 12;
 /// Interval between probes of a promoted member; a promotion takes a few hundred milliseconds.
-const PROMOTION_POLL_INTERVAL: Duration = Duration::from_millis(100);
+const PROMOTION_PROBE_INTERVAL: Duration = Duration::from_millis(100);
 /// Rendezvous hash key that elects the instance which acquires the lease.
 const COORDINATOR_ELECTION_KEY: &str = "promotion";
 
@@ -292,8 +292,8 @@
         let leader = leading.or(leader);
         let leader_index =
             leader.as_ref().and_then(|name| members.iter().position(|other| other == name));
-        let answered = leader_index.is_some_and(|index| reports[index].is_some());
-        machine.borrow_mut().record_probe_round(answered || probed_indirectly, now);
+        let leader_answered = leader_index.is_some_and(|index| reports[index].is_some());
+        machine.borrow_mut().record_probe_round(leader_answered || probed_indirectly, now);
         let decision = {
             let directory = self.directory.borrow();
             let observation = |(name, report): (&String, &Option<MemberReport>)| {
@@ -327,8 +327,8 @@
     /// Probes a promoted member until it leads, so that other instances learn of it without the
     /// store.
     async fn await_leader(&self, endpoint: &str) {
-        for _ in 0..MAX_PROMOTION_POLLS {
-            sleep(PROMOTION_POLL_INTERVAL).await;
+        for _ in 0..MAX_PROMOTION_PROBES {
+            sleep(PROMOTION_PROBE_INTERVAL).await;
             let members = [endpoint.to_owned()];
             let reports = [self.probe_member(endpoint).await];
             if self.record_reports(&members, &reports).is_some() {
@@ -384,7 +384,7 @@
         let mut peers = self.peers.live();
         let zone = &self.settings.record.zone;
         peers.sort_by_key(|peer| (peer.record.zone == *zone, peer.record.name.clone()));
-        for peer in peers.into_iter().take(INDIRECT_PROBES) {
+        for peer in peers.into_iter().take(MAX_INDIRECT_PROBES) {
             if peer.probe(endpoint, INDIRECT_PROBE_TIMEOUT).await == Some(true) {
                 return true;
             }
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -68,11 +68,11 @@
     pub async fn stop(self: &Rc<Self>) {
         log_event!(LogEvent::DrainStarted, "callers={}", self.caller_count.get());
         self.start_leaving();
-        let removal = self.platform.unregister_instance(self.name());
+        let unregistration = self.platform.unregister_instance(self.name());
         let started_at = self.now();
-        tokio::pin!(removal);
-        let removed = tokio::time::timeout(LEAVE_NOTICE_PERIOD, removal).await;
-        if let Ok(Err(error)) = &removed {
+        tokio::pin!(unregistration);
+        let unregistered = tokio::time::timeout(LEAVE_NOTICE_PERIOD, unregistration).await;
+        if let Ok(Err(error)) = &unregistered {
             log_event!(LogEvent::PlatformLost, "step=unregister cause=\"{error}\"");
         }
         let drain_timeout = self.grace_period().mul_f64(DRAIN_FRACTION);
--- a/crates/engine/src/line_buffer.rs
+++ b/crates/engine/src/line_buffer.rs
@@ -6,7 +6,7 @@
 /// Line terminator.
 const LINE_END: &[u8; 2] = b"\r\n";
 /// Free space reserved before each read, in bytes.
-const READ_SIZE: usize = 2_048;
+const READ_CHUNK_BYTES: usize = 2_048;
 
 /// Buffer of received bytes that were not consumed yet.
 #[derive(Debug, Default)]
@@ -58,7 +58,7 @@
 
     /// Reads from `stream` into the buffer. Returns 0 at the end of the stream.
     pub async fn fill(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> std::io::Result<usize> {
-        self.input.reserve(READ_SIZE);
+        self.input.reserve(READ_CHUNK_BYTES);
         stream.read_buf(&mut self.input).await
     }
 }
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -71,7 +71,7 @@
     /// Number of statements in `bytes`.
     pub count: u8,
     /// Index of the answer whose success confirms that the endpoint is the leader.
-    pub confirming_answer: Option<u8>,
+    pub confirming_answer_index: Option<u8>,
     /// The statements may be retried elsewhere if no answer arrives.
     pub retryable: bool,
 }
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the number of known instances, including this one and unreachable ones.
-    pub fn registered_count(&self) -> usize {
+    pub fn known_count(&self) -> usize {
         self.links.borrow().len() + 1
     }
 
@@ -258,7 +258,7 @@
         link.last_response_at.set(Some(self.now()));
         link.unanswered_since.set(None);
         if link.unreachable_since.take().is_some() {
-            *link.output.borrow_mut() = Some(output.clone());
+            *link.live_output.borrow_mut() = Some(output.clone());
             log_event!(LogEvent::PeerFound, "instance={}", link.record.name);
         }
     }
--- a/crates/engine/src/peer_link.rs
+++ b/crates/engine/src/peer_link.rs
@@ -125,7 +125,7 @@
     /// Registration of the peer.
     pub record: InstanceRecord,
     /// Output of the open connection; set once the peer has responded on it.
-    pub(crate) output: RefCell<Option<Rc<OutputQueue>>>,
+    pub(crate) live_output: RefCell<Option<Rc<OutputQueue>>>,
     pub(crate) pending: RefCell<PendingCalls>,
     /// Next identifier of a call or ping.
     pub(crate) next_call_id: Cell<u32>,
@@ -149,7 +149,7 @@
     pub(crate) fn new(record: InstanceRecord, now: Instant) -> Self {
         Self {
             record,
-            output: RefCell::default(),
+            live_output: RefCell::default(),
             pending: RefCell::default(),
             next_call_id: Cell::new(1),
             open_output: RefCell::default(),
@@ -188,16 +188,16 @@
 
     /// Runs statements through the peer, which owns the endpoint's connections.
     pub async fn execute(&self, body: ExecuteCall) -> ExecuteReply {
-        if self.output.borrow().is_none() {
+        if self.live_output.borrow().is_none() {
             return no_owner_reply();
         }
         let answer_timeout =
             Duration::from_millis(u64::from(body.answer_timeout_ms)) + PING_TIMEOUT;
         let request = |call_id| PeerRequest::Execute { call_id, body: Box::new(body) };
         let reply = self.send_call(|pending| &mut pending.execute, answer_timeout, request).await;
-        let lost =
+        let in_doubt =
             ExecuteReply { outcome: ExecuteOutcome::InDoubt, queue_wait_ms: 0, watermark: None };
-        reply.unwrap_or(lost)
+        reply.unwrap_or(in_doubt)
     }
 
     /// Rolls back a transaction whose connection the peer owns.
@@ -258,7 +258,7 @@
 
     /// Sends a request, or drops it if the peer is not connected.
     pub(crate) fn send(&self, request: &PeerRequest) {
-        if let Some(output) = &*self.output.borrow() {
+        if let Some(output) = &*self.live_output.borrow() {
             output.push(request);
         }
     }
@@ -304,7 +304,7 @@
 
 /// Closes the output of a link and fails its calls in flight.
 pub(crate) fn close_link(link: &PeerLink) {
-    if let Some(output) = link.output.borrow_mut().take() {
+    if let Some(output) = link.live_output.borrow_mut().take() {
         output.close();
     }
     *link.pending.borrow_mut() = PendingCalls::default();
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -29,7 +29,7 @@
 
 /// Connection taken from its pool, to return to it or to stay pinned to an open transaction.
 #[derive(Debug)]
-pub(crate) struct PinnedConnection {
+pub(crate) struct PooledConnection {
     pub(crate) pool: Rc<EndpointPool>,
     pub(crate) team: String,
     pub(crate) connection: EndpointConnection,
@@ -63,15 +63,15 @@
     pub(crate) pool: Rc<EndpointPool>,
     pub(crate) clock: SharedClock,
     pub(crate) priority: PriorityLevel,
-    pub(crate) team: u64,
+    pub(crate) team_hash: u64,
     pub(crate) acquired_at: Instant,
 }
 
 impl Drop for RunPermit {
     fn drop(&mut self) {
         let now = self.clock.now();
-        let held = now.saturating_duration_since(self.acquired_at);
-        self.pool.queue.borrow_mut().release(self.priority, self.team, held);
+        let hold_time = now.saturating_duration_since(self.acquired_at);
+        self.pool.queue.borrow_mut().release(self.priority, self.team_hash, hold_time);
         self.pool.grant_permits(now);
     }
 }
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -56,7 +56,7 @@
     /// Text as sent by the caller.
     pub text: &'a str,
     /// State machine of the session.
-    pub session_state: &'a SessionMachine,
+    pub machine: &'a SessionMachine,
     /// Identifier of the session, unique over all instances.
     pub session_id: u64,
     /// Session settings that the pinned connection of the transaction does not have yet.
@@ -95,11 +95,11 @@
     bytes: Vec<u8>,
     /// Number of statements in `bytes`.
     count: u8,
-    /// Index of the answer that is returned to the caller, counted like `confirming_answer`.
-    answer: u8,
+    /// Index of the answer that is returned to the caller, counted like `confirming_answer_index`.
+    answer_index: u8,
     /// Index of the answer whose success confirms that the endpoint is the leader, counted from the
     /// answer to `begin_bytes` if there is one.
-    confirming_answer: Option<u8>,
+    confirming_answer_index: Option<u8>,
     keep_pinned: bool,
     retryable: bool,
 }
@@ -247,7 +247,7 @@
             let watermarks = directory.watermarks(service)?;
             let watermark = watermarks.oldest_within(context.plan.began_at, max_staleness)?;
             let last_commit = match context.route.consistency {
-                RouteConsistency::ReadYourWrites { .. } => context.session_state.last_commit(),
+                RouteConsistency::ReadYourWrites { .. } => context.machine.last_commit(),
                 _ => None,
             };
             Some(WatermarkRing::required_position(watermark, last_commit))
@@ -276,7 +276,7 @@
     ) -> AttemptOutcome {
         let batch = build_batch::<E::Codec>(context, leads, required);
         let (answer_index, confirming_answer_index, keep_pinned) =
-            (batch.answer, batch.confirming_answer, batch.keep_pinned);
+            (batch.answer_index, batch.confirming_answer_index, batch.keep_pinned);
         let transaction_id = if keep_pinned { self.new_transaction_id() } else { 0 };
         let call = self.build_call(context, endpoint, batch, transaction_id);
         let sent_at = self.now();
@@ -316,12 +316,12 @@
         batch: StatementBatch,
         transaction_id: u32,
     ) -> ExecuteCall {
-        let setup_version = context.session_state.setup_version();
+        let setup_version = context.machine.setup_version();
         let mut setup_bytes = Vec::new();
         // Counts the reset that precedes the session's own statements.
         let mut setup_count = 1;
         E::Codec::encode_control(&mut setup_bytes, ControlStatement::Reset);
-        for text in context.session_state.setup_statements() {
+        for text in context.machine.setup_statements() {
             E::Codec::encode_control(&mut setup_bytes, ControlStatement::Setup(text));
             setup_count += 1;
         }
@@ -345,7 +345,7 @@
             begin_bytes: batch.begin_bytes,
             bytes: batch.bytes,
             count: batch.count,
-            confirming_answer: batch.confirming_answer,
+            confirming_answer_index: batch.confirming_answer_index,
             retryable: batch.retryable,
         }
     }
@@ -389,17 +389,17 @@
         let begin = if leads { ControlStatement::Begin } else { ControlStatement::BeginRead };
         C::encode_control(&mut batch.begin_bytes, begin);
         statement(&mut batch.bytes, if leads || plan.commits { None } else { required });
-        batch.answer = 1;
-        batch.confirming_answer = leads.then_some(0);
+        batch.answer_index = 1;
+        batch.confirming_answer_index = leads.then_some(0);
         (batch.keep_pinned, batch.retryable) = (!plan.commits, !plan.commits);
     } else if plan.writes {
         statement(&mut batch.bytes, None);
-        batch.confirming_answer = Some(0);
+        batch.confirming_answer_index = Some(0);
     } else if leads {
         C::encode_control(&mut batch.begin_bytes, ControlStatement::Begin);
         statement(&mut batch.bytes, None);
         C::encode_control(&mut batch.bytes, ControlStatement::Rollback);
-        (batch.count, batch.answer, batch.confirming_answer) = (2, 1, Some(0));
+        (batch.count, batch.answer_index, batch.confirming_answer_index) = (2, 1, Some(0));
         batch.retryable = true;
     } else {
         statement(&mut batch.bytes, required);
