--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -207,7 +207,7 @@
     }
 
     /// Removes endpoints that have been unregistered for more than four times
-    /// [`UNREGISTERED_GRACE_PERIOD`], and returns their names.
+    /// `UNREGISTERED_GRACE_PERIOD`, and returns their names.
     pub fn remove_expired(&mut self, now: Instant) -> Vec<String> {
         let is_expired = |entry: &EndpointEntry| {
             entry
--- a/crates/engine/src/failover.rs
+++ b/crates/engine/src/failover.rs
@@ -338,7 +338,7 @@
         }
     }
 
-    /// Records the member that reports to be the leader of the newest term, and returns its name.
+    /// Records the member that reports that it leads in the newest term, and returns its name.
     fn record_reports(
         &self,
         members: &[String],
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -86,7 +86,7 @@
             let Some(sender) = next else {
                 break;
             };
-            // The request has stopped waiting: its permit is released without a run time.
+            // The request has stopped waiting: its permit is released at once, with a hold time of 0.
             if sender.send(()).is_err() {
                 self.queue.borrow_mut().release(0, 0, Duration::ZERO);
             }
