--- a/crates/engine/src/peer_link.rs
+++ b/crates/engine/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! Outgoing connection to a peer instance, and the calls in flight on it.
+//! Link to a peer instance: its outgoing connection and the calls in flight on it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -119,24 +119,27 @@
     pub(crate) table: ReplySenders<(Vec<StoredRow>, u64)>,
 }
 
-/// Link to a peer instance, kept open by this instance.
+/// Link to a peer instance, which this instance reconnects when the connection is lost.
 #[derive(Debug)]
 pub struct PeerLink {
     /// Registration of the peer.
     pub record: InstanceRecord,
     /// Output of the open connection; set once the peer has responded on it.
-    pub(crate) output: RefCell<Option<Rc<OutputQueue>>>,
+    pub(crate) live_output: RefCell<Option<Rc<OutputQueue>>>,
     pub(crate) pending: RefCell<PendingCalls>,
+    /// Next identifier of a call or ping.
     pub(crate) next_call_id: Cell<u32>,
     /// Output of the open connection, whether the peer has responded on it or not.
     pub(crate) open_output: RefCell<Option<Rc<OutputQueue>>>,
     pub(crate) last_response_at: Cell<Option<Instant>>,
     /// Time of the oldest unanswered ping.
     pub(crate) unanswered_since: Cell<Option<Instant>>,
-    /// Number and time of the ping whose answer may validate the document.
+    /// Identifier and time of the ping whose answer may validate the document.
     pub(crate) validation_ping: Cell<Option<(u32, Instant)>>,
     pub(crate) unreachable_since: Cell<Option<Instant>>,
+    /// Version of `status` on the open connection; zero before the first one.
     pub(crate) status_version: Cell<u32>,
+    /// Last reported status of the peer.
     pub(crate) status: RefCell<InstanceStatus>,
     /// A newer registration of the peer has replaced this link.
     pub(crate) superseded: Cell<bool>,
@@ -146,7 +149,7 @@
     pub(crate) fn new(record: InstanceRecord, now: Instant) -> Self {
         Self {
             record,
-            output: RefCell::default(),
+            live_output: RefCell::default(),
             pending: RefCell::default(),
             next_call_id: Cell::new(1),
             open_output: RefCell::default(),
@@ -185,16 +188,16 @@
 
     /// Runs statements through the peer, which owns the endpoint's connections.
     pub async fn execute(&self, body: ExecuteCall) -> ExecuteReply {
-        if self.output.borrow().is_none() {
+        if self.live_output.borrow().is_none() {
             return no_owner_reply();
         }
         let answer_timeout =
             Duration::from_millis(u64::from(body.answer_timeout_ms)) + PING_TIMEOUT;
         let request = |call_id| PeerRequest::Execute { call_id, body: Box::new(body) };
         let reply = self.send_call(|pending| &mut pending.execute, answer_timeout, request).await;
-        let lost =
+        let in_doubt =
             ExecuteReply { outcome: ExecuteOutcome::InDoubt, queue_wait_ms: 0, watermark: None };
-        reply.unwrap_or(lost)
+        reply.unwrap_or(in_doubt)
     }
 
     /// Rolls back a transaction whose connection the peer owns.
@@ -255,7 +258,7 @@
 
     /// Sends a request, or drops it if the peer is not connected.
     pub(crate) fn send(&self, request: &PeerRequest) {
-        if let Some(output) = &*self.output.borrow() {
+        if let Some(output) = &*self.live_output.borrow() {
             output.push(request);
         }
     }
@@ -301,7 +304,7 @@
 
 /// Closes the output of a link and fails its calls in flight.
 pub(crate) fn close_link(link: &PeerLink) {
-    if let Some(output) = link.output.borrow_mut().take() {
+    if let Some(output) = link.live_output.borrow_mut().take() {
         output.close();
     }
     *link.pending.borrow_mut() = PendingCalls::default();
