--- a/crates/coord/src/placement.rs
+++ b/crates/coord/src/placement.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns whether the endpoint refused to lead so recently that writes try it last.
-    pub fn is_follower(&self, now: Instant) -> bool {
+    pub fn refused_to_lead_recently(&self, now: Instant) -> bool {
         happened_within(self.not_leader_at, NOT_LEADER_TTL, now)
     }
 
--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -292,7 +292,10 @@
     /// Returns the most credible leader of a service that has not refused to lead recently.
     pub fn leader(&self, service: &str, now: Instant) -> Option<String> {
         let candidates = self.leader_candidates(service, now);
-        candidates.into_iter().find(|name| !self.endpoints[*name].view.is_follower(now)).cloned()
+        candidates
+            .into_iter()
+            .find(|name| !self.endpoints[*name].view.refused_to_lead_recently(now))
+            .cloned()
     }
 
     /// Returns the endpoints to try for a write, best first.
@@ -303,7 +306,8 @@
         let usable = |name: &&String| self.endpoints[*name].accepts_work(self.drain_timeout, now);
         let candidates: Vec<&String> =
             self.leader_candidates(service, now).into_iter().filter(usable).collect();
-        let has_leader = candidates.iter().any(|name| !self.endpoints[*name].view.is_follower(now));
+        let has_leader =
+            candidates.iter().any(|name| !self.endpoints[*name].view.refused_to_lead_recently(now));
         let mut order: Vec<String> = candidates.iter().map(|name| (*name).clone()).collect();
         if !has_leader {
             let mut others: Vec<&String> = self
@@ -314,7 +318,11 @@
                 .collect();
             others.sort_by_key(|name| {
                 let entry = &self.endpoints[*name];
-                (entry.view.is_follower(now), !entry.is_active(), entry.view.failed_recently(now))
+                (
+                    entry.view.refused_to_lead_recently(now),
+                    !entry.is_active(),
+                    entry.view.failed_recently(now),
+                )
             });
             order.extend(others.into_iter().cloned());
         }
@@ -334,7 +342,11 @@
         order.sort_by_key(|name| {
             let entry = &self.endpoints[*name];
             // A failed leader may have been replaced by one that is not confirmed yet.
-            (entry.view.is_follower(now), entry.view.failed_recently(now), confirmed != Some(*name))
+            (
+                entry.view.refused_to_lead_recently(now),
+                entry.view.failed_recently(now),
+                confirmed != Some(*name),
+            )
         });
         order
     }
