--- a/crates/coord/src/ledger.rs
+++ b/crates/coord/src/ledger.rs
@@ -5,10 +5,11 @@
 //! recipient grows by the difference to the total that it has received. Lost, duplicated or
 //! reordered messages change nothing.
 //!
-//! Shares lost with an instance are recovered by a new epoch: every instance reports its shares as
-//! it enters the epoch, and unreported shares are issued again once the validation of the old epoch
-//! has expired. A report can be lost, so a reported share is provisional until the issuer confirms
-//! that it was counted: it may be used while the old epoch is valid, but not transferred.
+//! Shares lost with an instance are recovered by a reconciliation: one instance, the issuer, starts
+//! a new epoch, every instance reports its shares as it enters the epoch, and the issuer issues the
+//! unreported shares again once the validation of the old epoch has expired. A report can be lost,
+//! so a reported share is provisional until the issuer confirms that it was counted: it may be used
+//! while the old epoch is valid, but not transferred.
 
 use std::collections::HashMap;
 
@@ -28,7 +29,7 @@
 /// Upper bound on a recipient's share, as a multiple of its demand.
 const RECIPIENT_HEADROOM: f64 = 1.5;
 
-/// Random number that an instance draws at its start.
+/// Random number that an instance draws at its start, which identifies this run of it.
 pub type Incarnation = u64;
 
 /// Cumulative totals transferred from one instance to another in one epoch.
--- a/crates/coord/src/priority.rs
+++ b/crates/coord/src/priority.rs
@@ -18,7 +18,7 @@
 /// Hold time assumed before the first sample, in seconds.
 const INITIAL_HOLD_SECONDS: f64 = 0.012;
 
-/// Bounded permits of an endpoint and the requests queued for them.
+/// Permits to execute requests on an endpoint, and the requests queued for a permit.
 #[derive(Clone, Debug)]
 pub struct PriorityQueue<T, R> {
     capacity: usize,
--- a/crates/coord/src/quota.rs
+++ b/crates/coord/src/quota.rs
@@ -115,8 +115,8 @@
     /// Takes a token for one operation of a team and returns the delay after which it may start.
     ///
     /// Returns the time after which a retry would succeed if the delay exceeds `max_wait`.
-    /// `priority_rank` is the number of priorities above that of the operation. `starts_full` fills
-    /// a new bucket, for use when nothing can have been admitted before.
+    /// `priority_rank` is the number of priorities in use above that of the operation.
+    /// `starts_full` fills a new bucket, for use when nothing can have been admitted before.
     pub fn take(
         &mut self,
         team: &str,
--- a/crates/coord/src/session.rs
+++ b/crates/coord/src/session.rs
@@ -274,7 +274,8 @@
         }
     }
 
-    /// Records that a forwarded statement failed, which also fails an open transaction.
+    /// Records that a forwarded statement failed, which also fails an open transaction; a failed
+    /// commit ends it.
     pub fn record_failure(&mut self, plan: &ForwardPlan) {
         if plan.commits {
             self.end_transaction();
--- a/crates/coord/tests/failover_fuzz.rs
+++ b/crates/coord/tests/failover_fuzz.rs
@@ -75,6 +75,7 @@
     /// Ticks for which each instance remains stalled.
     stalled_ticks: Vec<u32>,
     messages_in_flight: VecDeque<GroupMessage>,
+    /// Positions of the acknowledged writes, by value.
     acknowledged: BTreeMap<u64, LogPosition>,
     primary_by_term: BTreeMap<u64, usize>,
     next_value: u64,
--- a/crates/coord/tests/ledger_fuzz.rs
+++ b/crates/coord/tests/ledger_fuzz.rs
@@ -58,6 +58,7 @@
     epoch: u64,
     issuer: usize,
     started_at: Instant,
+    /// Reported shares in millionths, by instance index.
     reports: Vec<Option<u64>>,
 }
 
--- a/crates/coord/tests/load_patterns.rs
+++ b/crates/coord/tests/load_patterns.rs
@@ -70,8 +70,8 @@
     let mut arrivals = vec![(2, 1); 20];
     arrivals.push((1, 2));
     let started = simulate_queue(&arrivals, millis(10_000), start);
-    let order = started.iter().position(|index| *index == 20).expect("it starts");
-    assert!(order <= 3, "the high-priority request started at position {order} of {started:?}");
+    let position = started.iter().position(|index| *index == 20).expect("it starts");
+    assert!(position <= 3, "the high-priority request started at position {position} of {started:?}");
 });
 
 // Guards against refusing a request because another team's slow statements fill the queue: teams
@@ -100,8 +100,8 @@
     let mut arrivals = vec![(1, 1); 30];
     arrivals.push((1, 2));
     let started = simulate_queue(&arrivals, millis(10_000), start);
-    let order = started.iter().position(|index| *index == 30).expect("it starts");
-    assert!(order <= 5, "the other team started at position {order}");
+    let position = started.iter().position(|index| *index == 30).expect("it starts");
+    assert!(position <= 5, "the other team started at position {position}");
 });
 
 load_case!(requests_that_would_start_too_late_are_refused_on_arrival, start => {
