--- a/crates/engine/src/directory.rs
+++ b/crates/engine/src/directory.rs
@@ -294,7 +294,10 @@
     /// follower.
     pub fn leader(&self, service: &str, now: Instant) -> Option<String> {
         let candidates = self.leader_candidates(service, now);
-        candidates.into_iter().find(|name| !self.endpoints[*name].view.is_follower(now)).cloned()
+        candidates
+            .into_iter()
+            .find(|name| !self.endpoints[*name].view.refused_to_lead_recently(now))
+            .cloned()
     }
 
     /// Returns the endpoints to try for a write, best first.
@@ -306,7 +309,8 @@
         let usable = |name: &&String| self.endpoints[*name].accepts_work(self.drain_timeout, now);
         let candidates: Vec<&String> =
             self.leader_candidates(service, now).into_iter().filter(usable).collect();
-        let has_leader = candidates.iter().any(|name| !self.endpoints[*name].view.is_follower(now));
+        let has_leader =
+            candidates.iter().any(|name| !self.endpoints[*name].view.refused_to_lead_recently(now));
         let mut order: Vec<String> = candidates.iter().map(|name| (*name).clone()).collect();
         if !has_leader {
             let mut others: Vec<&String> = self
@@ -317,7 +321,11 @@
                 .collect();
             others.sort_by_key(|name| {
                 let entry = &self.endpoints[*name];
-                (entry.view.is_follower(now), !entry.is_active(), entry.view.failed_recently(now))
+                (
+                    entry.view.refused_to_lead_recently(now),
+                    !entry.is_active(),
+                    entry.view.failed_recently(now),
+                )
             });
             order.extend(others.into_iter().cloned());
         }
@@ -339,7 +347,7 @@
             // A leader that failed recently may have been replaced by a member that so far only its
             // registration names as leader.
             (
-                entry.view.is_follower(now),
+                entry.view.refused_to_lead_recently(now),
                 entry.view.failed_recently(now),
                 known_leader != Some(*name),
             )
