--- a/crates/net/src/member.rs
+++ b/crates/net/src/member.rs
@@ -99,7 +99,8 @@
     last_active_at: Instant,
     /// Identifiers of the prepared statements that exist on this connection.
     pub prepared_statements: HashSet<u64>,
-    /// Fingerprint of the session parameters set on this connection.
+    /// Fingerprint of the session parameters set on this connection; always zero, since parameters
+    /// are not sent to members.
     pub parameter_fingerprint: u64,
 }
 
--- a/crates/net/src/platform.rs
+++ b/crates/net/src/platform.rs
@@ -77,8 +77,8 @@
     }
 }
 
-fn record_operation(kind: &'static str, answered: bool) {
-    let outcome = if answered { "answered" } else { "failed" };
+fn record_operation(kind: &'static str, responded: bool) {
+    let outcome = if responded { "answered" } else { "failed" };
     counter!(meter::PLATFORM_OPERATIONS, "kind" => kind, "outcome" => outcome).increment(1);
 }
 
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -15,7 +15,7 @@
 
 /// Idle time after which a connection's liveness is checked before it is used again.
 const LIVENESS_CHECK_THRESHOLD: Duration = Duration::from_secs(1);
-/// Timeout of a liveness check.
+/// Timeout of a liveness check, and retry delay after the member's limit or the deadline is reached.
 const LIVENESS_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle time after which a connection is evicted.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(120);
@@ -23,7 +23,7 @@
 /// Error on acquiring a connection.
 #[derive(Debug, Snafu)]
 pub enum PoolError {
-    /// The queue is full.
+    /// The team has too many queued requests.
     #[snafu(display("connection queue is full"))]
     QueueFull,
     /// No connection is available before the deadline, or the member has reached its limit.
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -154,6 +154,7 @@
             return Ok(ReplaceOutcome::Accepted(head));
         }
         let head = self.head().await?;
+        // No digest is known here: the head row itself is missing.
         let digest = "head";
         Ok(ReplaceOutcome::Conflict(head.context(MissingBodySnafu { digest })?))
     }
@@ -207,13 +208,13 @@
 pub struct EnvironmentSnapshot {
     /// Head of the document in force, if any.
     pub head: Option<DocumentHead>,
-    /// Current epoch of the allotment ledger, if any.
+    /// Current epoch of the share ledger, if any.
     pub epoch: Option<LedgerEpoch>,
     /// Table revision of the epoch row, zero if the row is absent.
     pub epoch_row_revision: u64,
 }
 
-/// Epoch of the allotment ledger.
+/// Epoch of the share ledger.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LedgerEpoch {
     /// Number of the epoch, counted from 1.
--- a/crates/proxy/src/cancel.rs
+++ b/crates/proxy/src/cancel.rs
@@ -24,7 +24,8 @@
         *self.running.lock() = handle;
     }
 
-    /// Waits for a cancel request that arrives while no statement runs.
+    /// Waits for a cancel request that arrives while no statement runs, such as during the wait
+    /// for a pooled connection.
     pub async fn cancelled(&self) {
         self.cancel_requested.notified().await;
     }
@@ -103,7 +104,7 @@
     }
 }
 
-/// Returns the shard and the index within it.
+/// Returns the shard that a process id encodes, and the index within the shard.
 fn split_process_id(process_id: i32) -> (usize, usize) {
     let unsigned_id = process_id.unsigned_abs() as usize;
     (unsigned_id % SHARD_COUNT, unsigned_id / SHARD_COUNT)
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -63,7 +63,7 @@
     pub reads: ReadCounts,
     replica_reads: Counter,
     primary_reads: Counter,
-    /// Requests that passed the check of their API key.
+    /// Requests that passed the check of team, key and database.
     pub requests: Counter,
     refusals: HashMap<RefusalReason, Counter>,
     retries: HashMap<RetryReason, Counter>,
--- a/crates/proxy/src/database.rs
+++ b/crates/proxy/src/database.rs
@@ -41,14 +41,14 @@
     pub same_zone: bool,
     /// Pool of connections for callers' statements.
     pub pool: MemberPool,
-    control: MemberTarget,
+    control_target: MemberTarget,
     state: Mutex<MemberState>,
 }
 
 impl MemberHandle {
     /// Opens a connection for group commands.
     pub async fn open_control(&self) -> Result<MemberConnection, MemberError> {
-        MemberConnection::open(&self.control).await
+        MemberConnection::open(&self.control_target).await
     }
 
     /// Returns the last observed state of the member.
@@ -85,8 +85,8 @@
             .filter_map(|member| create_member(&entry.name, member, settings, capacity))
             .collect();
         let freshness = Mutex::new(FreshnessTracker::new(members.len()));
-        let changed = watch::Sender::new(0);
-        Self { id, name: entry.name.clone(), members, freshness, change_count: changed }
+        let change_count = watch::Sender::new(0);
+        Self { id, name: entry.name.clone(), members, freshness, change_count }
     }
 
     /// Returns the members' views on which routing decides.
@@ -256,13 +256,13 @@
         zone: settings.zone.clone(),
         connect_timeout: settings.connect_timeout,
     };
-    let control = MemberTarget { user: CONTROL_USER.to_owned(), ..target.clone() };
+    let control_target = MemberTarget { user: CONTROL_USER.to_owned(), ..target.clone() };
     Some(MemberHandle {
         name: member.clone(),
         zone: address.zone.clone(),
         same_zone: address.zone == settings.zone,
         pool: MemberPool::new(target, capacity),
-        control,
+        control_target,
         state: Mutex::new(MemberState {
             status: None,
             reachable: false,
--- a/crates/proxy/src/document.rs
+++ b/crates/proxy/src/document.rs
@@ -71,8 +71,8 @@
     let sent_at = instance.now();
     let store = DocumentStore::new(&instance.platform, &instance.settings.environment);
     let result = timeout(POLL_TIMEOUT, store.snapshot()).await;
-    let rows = match result {
-        Ok(Ok(rows)) => rows,
+    let snapshot = match result {
+        Ok(Ok(snapshot)) => snapshot,
         failed => {
             instance.update_validations(|validations| {
                 validations.document.record_store_failure(sent_at);
@@ -84,12 +84,12 @@
             };
         }
     };
-    instance.record_stored_epoch(rows.epoch.clone(), rows.epoch_row_revision);
-    let epoch = rows.epoch.map_or(0, |epoch| epoch.number);
-    let revision = rows.head.as_ref().map_or(0, |head| head.revision);
-    if let Some(head) = rows.head.filter(|head| head.revision > instance.revision()) {
+    instance.record_stored_epoch(snapshot.epoch.clone(), snapshot.epoch_row_revision);
+    let epoch = snapshot.epoch.map_or(0, |epoch| epoch.number);
+    let revision = snapshot.head.as_ref().map_or(0, |head| head.revision);
+    if let Some(head) = snapshot.head.filter(|head| head.revision > instance.revision()) {
         let text = store.body(&head).await?;
-        install(instance, head, text);
+        apply_if_newer(instance, head, text);
     }
     instance.update_validations(|validations| {
         validations.document.record_store_version(sent_at, revision);
@@ -115,13 +115,12 @@
             request: body.request,
             operator: body.operator,
         };
-        install(&instance, head, body.text);
+        apply_if_newer(&instance, head, body.text);
     });
 }
 
-/// Validates a document, puts it in force if it is newer, and announces it to peers with an older
-/// one.
-fn install(instance: &Arc<ProxyInstance>, head: DocumentHead, text: String) {
+/// Parses a document, puts it in force if it is newer, and announces it to peers with an older one.
+fn apply_if_newer(instance: &Arc<ProxyInstance>, head: DocumentHead, text: String) {
     if head.revision <= instance.revision() {
         return;
     }
--- a/crates/proxy/src/drain.rs
+++ b/crates/proxy/src/drain.rs
@@ -13,7 +13,7 @@
 
 /// Timeout of the transfer of all shares to a peer.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum time since the last contact to a peer for a transfer to it.
+/// Maximum time since the last message from a peer for a transfer to it.
 const MAX_CONTACT_AGE: Duration = Duration::from_millis(600);
 /// Interval at which the wait conditions are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -29,10 +29,10 @@
     instance.advance_phase(InstancePhase::Draining);
     wait_for_callers(instance, instance.settings.drain_deadline).await;
     transfer_shares(instance).await;
-    let cut = instance.callers.load(Ordering::Relaxed);
+    let remaining_callers = instance.callers.load(Ordering::Relaxed);
     instance.advance_phase(InstancePhase::Closed);
     wait_for_callers(instance, CLOSE_TIMEOUT).await;
-    log_event!(LogEvent::DrainEnded, "cut={cut}");
+    log_event!(LogEvent::DrainEnded, "cut={remaining_callers}");
 }
 
 /// Grants all shares to an active peer and waits for the acknowledgement.
@@ -53,7 +53,8 @@
     while !instance.ledger.is_acknowledged(&[recipient]) && Instant::now() < deadline {
         sleep(POLL_INTERVAL).await;
     }
-    // Lets another heartbeat report to all peers that this instance holds no shares.
+    // Lets another heartbeat report to all peers that this instance holds no shares, so that its
+    // end causes no reconciliation.
     sleep(heartbeat::HEARTBEAT_INTERVAL * 2).await;
 }
 
--- a/crates/proxy/src/failover.rs
+++ b/crates/proxy/src/failover.rs
@@ -159,14 +159,14 @@
         &self,
         member: MemberIndex,
         command: GroupCommand,
-        event: impl FnOnce(Option<MemberStatus>) -> Option<FailoverEvent> + Send + 'static,
+        to_event: impl FnOnce(Option<MemberStatus>) -> Option<FailoverEvent> + Send + 'static,
     ) {
         let (database, event_sender) = (self.database.clone(), self.event_sender.clone());
         tokio::spawn(async move {
             let execution = run_group_command(&database, member, &command);
             let response = timeout(COMMAND_TIMEOUT, execution).await;
             let status = response.ok().and_then(Result::ok);
-            if let Some(event) = event(status) {
+            if let Some(event) = to_event(status) {
                 let _ = event_sender.send(event).await;
             }
         });
--- a/crates/proxy/src/heartbeat.rs
+++ b/crates/proxy/src/heartbeat.rs
@@ -26,7 +26,7 @@
 const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Interval at which the list is read until it contains this instance.
 const STARTUP_LIST_INTERVAL: Duration = Duration::from_millis(50);
-/// Timeout of a heartbeat, after which the peer counts as unanswered in its round.
+/// Timeout of a heartbeat, after which it counts as unanswered in its round.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Polls the platform's list of instances and updates the peer directory.
@@ -79,24 +79,24 @@
         validations.document.end_heartbeat_round(peer_count, now);
         validations.epoch.end_heartbeat_round(peer_count, now);
     });
-    if !instance.is_ready() && is_view_complete(instance, now) {
+    if !instance.is_ready() && is_ready_to_serve(instance, now) {
         instance.mark_ready();
     }
 }
 
 /// Returns whether this instance is listed, document and epoch are validated, and no responding
 /// peer is in another epoch.
-fn is_view_complete(instance: &ProxyInstance, now: Instant) -> bool {
+fn is_ready_to_serve(instance: &ProxyInstance, now: Instant) -> bool {
     let epoch = instance.ledger.epoch();
     let is_recent = |at: Instant| now.saturating_duration_since(at) < 3 * HEARTBEAT_INTERVAL;
-    let agrees = |peer: &PeerEntry| {
+    let has_same_epoch = |peer: &PeerEntry| {
         let responds = peer.last_contact_at.is_some_and(is_recent);
         !responds || peer.summary.as_ref().is_some_and(|summary| summary.epoch == epoch)
     };
     instance.is_listed()
         && instance.is_document_valid(now)
         && instance.is_epoch_valid(now)
-        && !instance.peers.any(|peer| !agrees(peer))
+        && !instance.peers.any(|peer| !has_same_epoch(peer))
 }
 
 async fn send_heartbeat(instance: &Arc<ProxyInstance>, mut peer: PeerEntry) {
@@ -217,9 +217,10 @@
 ) {
     let ShareSender { incarnation, epoch, addressed, .. } = *sender;
     let catalog = instance.catalog();
-    let mut held = SecondaryMap::new();
+    let mut peer_shares = SecondaryMap::new();
+    // A peer leaves out teams of which it has neither share nor demand.
     for (id, _) in catalog.teams() {
-        held.insert(id, PeerShare::default());
+        peer_shares.insert(id, PeerShare::default());
     }
     for share in shares {
         let Some(id) = catalog.team_id(&share.team) else {
@@ -228,7 +229,7 @@
         let Some(entry) = catalog.team(id) else {
             continue;
         };
-        held.insert(id, PeerShare { share: share.share, demand: share.demand });
+        peer_shares.insert(id, PeerShare { share: share.share, demand: share.demand });
         if !addressed {
             continue;
         }
@@ -239,7 +240,7 @@
             instance.ledger.receive_grant(team, incarnation, epoch, totals, now);
         }
     }
-    instance.peers.record_shares(sender.name, held);
+    instance.peers.record_shares(sender.name, peer_shares);
 }
 
 /// Returns the state of this instance that is sent to peers.
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -87,8 +87,10 @@
 /// Epoch as last read from the table service.
 #[derive(Debug, Default)]
 struct StoredEpoch {
+    /// Whether the table service has been read at least once.
     loaded: bool,
     epoch: Option<LedgerEpoch>,
+    /// Revision of the epoch's row, zero if the row is absent.
     row_revision: u64,
 }
 
@@ -119,8 +121,9 @@
     catalog: RwLock<Arc<DocumentCatalog>>,
     document: RwLock<Option<Arc<StoredDocument>>>,
     validations: Mutex<InstanceValidations>,
-    /// Times up to which document and epoch may be acted on, in milliseconds after `started_at`.
+    /// Expiry of the document's validation, in milliseconds after `started_at`; zero without one.
     document_valid_until_ms: AtomicU64,
+    /// Expiry of the epoch's validation, in milliseconds after `started_at`; zero without one.
     epoch_valid_until_ms: AtomicU64,
     started_at: Instant,
     stored_epoch: Mutex<StoredEpoch>,
@@ -243,12 +246,12 @@
 
     /// Returns whether the document may be acted on at `now`.
     pub fn is_document_valid(&self, now: Instant) -> bool {
-        self.is_within(now, &self.document_valid_until_ms)
+        self.is_before_expiry(now, &self.document_valid_until_ms)
     }
 
     /// Returns whether the shares of the ledger may be used at `now`.
     pub fn is_epoch_valid(&self, now: Instant) -> bool {
-        self.is_within(now, &self.epoch_valid_until_ms)
+        self.is_before_expiry(now, &self.epoch_valid_until_ms)
     }
 
     /// Returns whether a new epoch may be started: the current one is valid, or there is none yet.
@@ -256,7 +259,7 @@
         self.is_epoch_valid(now) || self.is_epoch_absent()
     }
 
-    fn is_within(&self, now: Instant, valid_until_ms: &AtomicU64) -> bool {
+    fn is_before_expiry(&self, now: Instant, valid_until_ms: &AtomicU64) -> bool {
         let elapsed_ms = now.saturating_duration_since(self.started_at).as_millis() as u64;
         elapsed_ms < valid_until_ms.load(Ordering::Acquire)
     }
@@ -268,14 +271,14 @@
 
     /// Returns the epoch last read from the table service, zero for none, and its row's revision.
     pub fn stored_epoch(&self) -> (u64, u64) {
-        let known_epoch = self.stored_epoch.lock();
-        (known_epoch.epoch.as_ref().map_or(0, |epoch| epoch.number), known_epoch.row_revision)
+        let stored = self.stored_epoch.lock();
+        (stored.epoch.as_ref().map_or(0, |epoch| epoch.number), stored.row_revision)
     }
 
     /// Returns whether the table service has reported that there is no epoch yet.
     pub fn is_epoch_absent(&self) -> bool {
-        let known_epoch = self.stored_epoch.lock();
-        known_epoch.loaded && known_epoch.epoch.is_none()
+        let stored = self.stored_epoch.lock();
+        stored.loaded && stored.epoch.is_none()
     }
 
     /// Requests a read of the platform's list, after contact by an instance that is not listed.
@@ -298,7 +301,7 @@
         self.listed.load(Ordering::Acquire)
     }
 
-    /// Records that document, epoch and peers are known, so that callers can be served.
+    /// Records that document and epoch are validated, so that callers can be served.
     pub fn mark_ready(&self) {
         self.ready.send_if_modified(|ready| !std::mem::replace(ready, true));
     }
@@ -411,20 +414,20 @@
     clock: SharedClock,
 ) -> Result<RunningInstance, InstanceError> {
     let address = settings.listen;
-    let callers = TcpListener::bind(address).await.context(ListenSnafu { address })?;
-    let address = callers.local_addr().context(ListenSnafu { address })?;
+    let caller_listener = TcpListener::bind(address).await.context(ListenSnafu { address })?;
+    let address = caller_listener.local_addr().context(ListenSnafu { address })?;
     let peer_address = settings.peer_listen;
-    let peers = TcpListener::bind(peer_address).await;
-    let peers = peers.context(ListenSnafu { address: peer_address })?;
-    let peer_address = peers.local_addr().context(ListenSnafu { address: peer_address })?;
+    let peer_listener = TcpListener::bind(peer_address).await;
+    let peer_listener = peer_listener.context(ListenSnafu { address: peer_address })?;
+    let peer_address = peer_listener.local_addr().context(ListenSnafu { address: peer_address })?;
     let instance = ProxyInstance::create(settings, clock, peer_address)?;
     let mut tasks = JoinSet::new();
-    tasks.spawn(peer_service::serve(peers, instance.clone()));
+    tasks.spawn(peer_service::serve(peer_listener, instance.clone()));
     tasks.spawn(heartbeat::poll_instance_list(instance.clone()));
     tasks.spawn(heartbeat::run(instance.clone()));
     tasks.spawn(document::poll_store(instance.clone()));
     tasks.spawn(reconciliation::run(instance.clone()));
     tasks.spawn(share_transfer::run(instance.clone()));
-    tasks.spawn(listener::serve(callers, instance.clone()));
+    tasks.spawn(listener::serve(caller_listener, instance.clone()));
     Ok(RunningInstance { instance, address, peer_address, _tasks: tasks })
 }
--- a/crates/proxy/src/ledger.rs
+++ b/crates/proxy/src/ledger.rs
@@ -37,7 +37,7 @@
         self.limiter.update(self.id, now, |bucket| bucket.resize(rate, burst, now));
     }
 
-    /// Transfers a share to a recipient and returns the totals to send.
+    /// Transfers a share of `amount` millionths to a recipient and returns the totals to send.
     ///
     /// The bucket shrinks before the totals are sent, so that only one instance at a time admits
     /// requests with this share.
@@ -74,7 +74,8 @@
     issued: Mutex<IssuedTeams>,
 }
 
-/// Teams whose unreported share this instance has issued, in the latest epoch that it started.
+/// Teams whose unreported share, possibly zero, this instance has issued in the latest epoch that
+/// it started.
 #[derive(Debug, Default)]
 struct IssuedTeams {
     epoch: u64,
@@ -112,6 +113,7 @@
         let Some(since) = self.demand_measured_at.lock().replace(now) else {
             return;
         };
+        // The lower bounds of 0.001 and 1e-9 avoid a division by zero.
         let seconds = now.duration_since(since).as_secs_f64().max(0.001);
         let mut ledger = self.ledger.lock();
         for (id, team) in catalog.teams() {
@@ -145,10 +147,10 @@
         (ledger.share(team), ledger.demand(team))
     }
 
-    /// Returns the share and the demand that a request for a grant states.
+    /// Returns the share, in millionths, and the demand that a request for a grant states.
     ///
     /// The demand is at least twice the held share, since the instance is short of tokens.
-    pub fn request_terms(&self, team: TeamId) -> (u64, f64) {
+    pub fn share_and_raised_demand(&self, team: TeamId) -> (u64, f64) {
         let ledger = self.ledger.lock();
         let share = ledger.share(team);
         let held_fraction = share as f64 / FULL_SHARE as f64;
@@ -157,7 +159,7 @@
 
     /// Returns the share, in millionths, that a peer is expected to grant on request.
     pub fn expected_grant(&self, team: TeamId, peer_share: u64, peer_demand: f64) -> u64 {
-        let (share, demand) = self.request_terms(team);
+        let (share, demand) = self.share_and_raised_demand(team);
         ledger::fair_grant(peer_share, peer_demand, share, demand)
     }
 
@@ -209,7 +211,7 @@
         self.grant_received.notify_waiters();
     }
 
-    /// Records the total share that a recipient has received from this instance.
+    /// Records the total share, in millionths, that a recipient has received from this instance.
     pub fn record_acknowledgement(
         &self,
         id: TeamId,
@@ -322,13 +324,13 @@
     /// epoch.
     pub fn issue_new_teams(&self, catalog: &DocumentCatalog, limiter: &TeamLimiter, now: Instant) {
         let epoch = self.epoch();
-        let new: Vec<_> = {
+        let new_teams: Vec<_> = {
             let issued = self.issued.lock();
             let is_new = |team: &TeamEntry| !issued.team_names.contains(&team.name);
             let is_issuer = issued.epoch == epoch && epoch > 0;
             catalog.teams().filter(|(_, team)| is_issuer && is_new(team)).collect()
         };
-        for (id, entry) in new {
+        for (id, entry) in new_teams {
             self.issue(TeamBucket { limiter, id, entry }, FULL_SHARE, 0.0, now);
         }
     }
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -55,10 +55,10 @@
 }
 
 async fn serve_caller(stream: TcpStream, instance: Arc<ProxyInstance>) {
-    let callers = instance.callers.fetch_add(1, Ordering::Relaxed);
+    let caller_count = instance.callers.fetch_add(1, Ordering::Relaxed);
     let _guard = CallerGuard(instance.clone());
     let mut socket = FramedSocket::new(stream, instance.settings.max_message_bytes);
-    if callers >= instance.settings.max_callers {
+    if caller_count >= instance.settings.max_callers {
         let reason = RefusalReason::TooManyCallers;
         let refusal = RequestRefusal::new(reason, "the instance serves as many callers as it may");
         return send_refusal(&mut socket, &instance, &refusal).await;
--- a/crates/proxy/src/parameter.rs
+++ b/crates/proxy/src/parameter.rs
@@ -54,6 +54,7 @@
             "standard_conforming_strings" => "on",
             _ => return Err(ParameterError::Unsupported),
         };
+        // A prefix such as `ISO` and another spelling such as `utf-8` are accepted too.
         let normalize = |text: &str| text.to_ascii_lowercase().replace(['-', ' '], "");
         let accepted =
             normalize(fixed).starts_with(&normalize(value)) || normalize(value) == "default";
--- a/crates/proxy/src/peer_service.rs
+++ b/crates/proxy/src/peer_service.rs
@@ -116,11 +116,12 @@
     }
 
     async fn report(&self, _: Request<ReportRequest>) -> Result<Response<ReportReply>, Status> {
-        Ok(Response::new(report(&self.instance)))
+        Ok(Response::new(status_report(&self.instance)))
     }
 }
 
-fn report(instance: &ProxyInstance) -> ReportReply {
+/// Returns the state of this instance for operators.
+fn status_report(instance: &ProxyInstance) -> ReportReply {
     let catalog = instance.catalog();
     let shares = instance.ledger.shares(&catalog);
     let to_held_share = |(id, share): (_, u64)| {
--- a/crates/proxy/src/reconciliation.rs
+++ b/crates/proxy/src/reconciliation.rs
@@ -21,7 +21,7 @@
 
 /// Interval at which the holders of shares are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time without a response after which a holder counts as lost.
+/// Time without a message after which a holder of shares counts as lost.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Delay per instance that ranks higher, so that usually only one instance starts an epoch.
 const RANK_DELAY: Duration = Duration::from_millis(400);
@@ -34,7 +34,9 @@
 #[derive(Debug, Default)]
 struct HolderTracker {
     epoch: u64,
+    /// Time of the last message from each holder.
     last_contacts: HashMap<Incarnation, Instant>,
+    /// Time since which a reconciliation has been due without interruption.
     due_since: Option<Instant>,
 }
 
@@ -158,7 +160,7 @@
     };
     add(CensusReply { incarnation: instance.incarnation(), entered: true, shares: own_shares });
     let replies = collect_reports(instance, epoch.number, started_at).await;
-    let holders = replies.len() + 1;
+    let reporter_count = replies.len() + 1;
     replies.into_values().for_each(add);
     if !instance.ledger.claim_issuance(epoch.number) {
         return;
@@ -166,13 +168,13 @@
     let now = instance.now();
     for (id, entry) in catalog.teams() {
         let reported_share = held_shares.get(&*entry.name).copied().unwrap_or_default();
-        let missing = FULL_SHARE.saturating_sub(reported_share);
+        let unreported_share = FULL_SHARE.saturating_sub(reported_share);
         // No request was admitted before the first epoch, so its buckets may start full.
         let tokens = if epoch.number == 1 { entry.burst } else { 0.0 };
         let team = TeamBucket { limiter: &instance.limiter, id, entry };
-        instance.ledger.issue(team, missing, tokens, now);
+        instance.ledger.issue(team, unreported_share, tokens, now);
     }
-    log_event!(LogEvent::LedgerReconciled, "epoch={} holders={holders}", epoch.number);
+    log_event!(LogEvent::LedgerReconciled, "epoch={} holders={reporter_count}", epoch.number);
 }
 
 /// Requests reports from all listed peers until the validation of the previous epoch has expired
@@ -184,7 +186,7 @@
 ) -> HashMap<Incarnation, CensusReply> {
     let mut replies: HashMap<Incarnation, CensusReply> = HashMap::new();
     // No instance holds a share before the first epoch, so one round is enough.
-    let end = match epoch {
+    let ends_at = match epoch {
         1 => started_at,
         _ => started_at + VALIDATION_TTL + CLOCK_DRIFT_MARGIN,
     };
@@ -199,7 +201,7 @@
         for reply in requests.join_all().await.into_iter().flatten() {
             replies.entry(reply.incarnation).or_insert(reply);
         }
-        if instance.now() >= end {
+        if instance.now() >= ends_at {
             return replies;
         }
         sleep(CHECK_INTERVAL).await;
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// Connection reserved for an open transaction or an unfinished exchange.
+/// Connection reserved for an open transaction, or until the sync after a flush.
 struct PinnedConnection {
     connection: PooledConnection,
     member_index: usize,
@@ -79,15 +79,18 @@
 pub struct CallerSession {
     instance: Arc<ProxyInstance>,
     socket: FramedSocket,
+    /// Bytes not sent to the caller yet.
     output: BytesMut,
     phases: watch::Receiver<InstancePhase>,
     team: TeamId,
     key: Option<KeyHash>,
+    /// Revision of the document against which access was last checked.
     checked_revision: u64,
     database_entry: Arc<DatabaseEntry>,
     database: Arc<DatabaseHandle>,
     positions: SessionPositions,
     positions_changed: bool,
+    /// Start time of the session.
     began_at: Instant,
     parameters: SessionParameters,
     prepared_statements: HashMap<String, Arc<PreparedStatement>>,
@@ -184,7 +187,7 @@
             frontend::SYNC => {
                 if std::mem::take(&mut self.skipping_to_sync) {
                     self.batch.clear();
-                    return self.complete_exchange().await;
+                    return self.send_ready_for_query().await;
                 }
                 let batch = std::mem::take(&mut self.batch);
                 self.serve_batch(batch, true).await
@@ -250,7 +253,7 @@
     ) -> Result<(), SessionEnd> {
         if batch.is_empty() && self.pinned.as_ref().is_none_or(|pinned| !pinned.awaiting_sync) {
             return if ends_with_sync {
-                self.complete_exchange().await
+                self.send_ready_for_query().await
             } else {
                 self.flush().await
             };
@@ -261,7 +264,7 @@
     }
 
     /// Sends the session token if it has changed, then ready-for-query and all buffered output.
-    async fn complete_exchange(&mut self) -> Result<(), SessionEnd> {
+    async fn send_ready_for_query(&mut self) -> Result<(), SessionEnd> {
         if std::mem::take(&mut self.positions_changed) {
             let token = self.instance.tokens.encode(&self.positions);
             backend::put_parameter_status(&mut self.output, SESSION_TOKEN, &token);
@@ -301,7 +304,7 @@
         );
         backend::put_refusal(&mut self.output, &refusal, false);
         if ends_with_sync {
-            return self.complete_exchange().await;
+            return self.send_ready_for_query().await;
         }
         self.skipping_to_sync = true;
         self.flush().await
--- a/crates/proxy/src/session/admission.rs
+++ b/crates/proxy/src/session/admission.rs
@@ -136,7 +136,7 @@
         }
         let mut result = instance.limiter.take(self.team, cost, requested_at);
         loop {
-            let Err(delay) = result else {
+            let Err(shortage) = result else {
                 return Ok(());
             };
             instance.ledger.record_shortage(self.team);
@@ -145,12 +145,12 @@
                 && share_transfer::is_grant_expected(&instance, self.team);
             if grant_expected {
                 instance.ledger.wait_for_grant(SHARE_POLL_INTERVAL).await;
-            } else if self.pinned.is_some() && now + delay.retry_after <= deadline {
-                tokio::time::sleep(delay.retry_after).await;
+            } else if self.pinned.is_some() && now + shortage.retry_after <= deadline {
+                tokio::time::sleep(shortage.retry_after).await;
             } else {
                 let detail = "the team is over its rate and burst";
                 let refusal = RequestRefusal::new(RefusalReason::RateExceeded, detail);
-                return Err(refusal.with_retry_after(delay.retry_after));
+                return Err(refusal.with_retry_after(shortage.retry_after));
             }
             result = instance.limiter.retry_take(self.team, cost, instance.now());
         }
--- a/crates/proxy/src/session/batch.rs
+++ b/crates/proxy/src/session/batch.rs
@@ -180,7 +180,7 @@
         *self = Self::default();
     }
 
-    /// Returns the total size of the messages in bytes.
+    /// Returns the total size of the messages in bytes; of a parse message only the query counts.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -91,7 +91,7 @@
     }
 
     async fn end_request(&mut self, ends_with_sync: bool) -> Result<(), SessionEnd> {
-        if ends_with_sync { self.complete_exchange().await } else { self.flush().await }
+        if ends_with_sync { self.send_ready_for_query().await } else { self.flush().await }
     }
 
     /// Refuses a request, and fails the transaction if one is open.
@@ -301,6 +301,8 @@
         };
         let may_commit = request.may_commit(false);
         let is_write = request.class.kind == StatementKind::Write;
+        // Without a position to check, the primary must confirm before a read that it still leads.
+        // A write is confirmed by its commit.
         let plan = ExchangePlan {
             confirm_leadership: target.term.is_some()
                 && target.required_position.is_none()
@@ -485,7 +487,7 @@
         ExchangeResult { outcome, partly_sent, response_complete }
     }
 
-    /// Returns a connection to its pool, or pins it for an open transaction or unfinished exchange.
+    /// Returns a connection to its pool, or pins it for an open transaction or a missing sync.
     fn pin_or_release(
         &mut self,
         mut connection: PooledConnection,
--- a/crates/proxy/src/share_transfer.rs
+++ b/crates/proxy/src/share_transfer.rs
@@ -31,7 +31,7 @@
 
 /// Returns whether a peer is expected to grant a share of the team.
 pub fn is_grant_expected(instance: &ProxyInstance, team: TeamId) -> bool {
-    let (share, _) = instance.ledger.request_terms(team);
+    let (share, _) = instance.ledger.share_and_raised_demand(team);
     // Without a share of its own, an instance asks any peer, also one that has not responded yet.
     (share == 0 && !instance.peers.is_empty())
         || instance.peers.any(|peer| expected_grant(instance, peer, team) > 0)
@@ -50,7 +50,7 @@
 }
 
 async fn request_grants(instance: &Arc<ProxyInstance>, team: TeamId) {
-    let (share, _) = instance.ledger.request_terms(team);
+    let (share, _) = instance.ledger.share_and_raised_demand(team);
     let mut peers: Vec<(u64, PeerEntry)> = instance
         .peers
         .all()
@@ -69,7 +69,7 @@
     let Some(entry) = catalog.team(team) else {
         return;
     };
-    let (share, demand) = instance.ledger.request_terms(team);
+    let (share, demand) = instance.ledger.share_and_raised_demand(team);
     let request = ShareRequest {
         incarnation: instance.incarnation(),
         epoch: instance.ledger.epoch(),
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -101,8 +101,8 @@
     }
     backend::put_parameter_status(&mut output, INSTANCE_NAME, &instance.settings.instance);
     let secret = SecretKey::I32(cancel_registration.secret_key());
-    let key = BackendKeyData::new(cancel_registration.process_id(), secret);
-    backend::put(&mut output, PgWireBackendMessage::BackendKeyData(key));
+    let key_data = BackendKeyData::new(cancel_registration.process_id(), secret);
+    backend::put(&mut output, PgWireBackendMessage::BackendKeyData(key_data));
     backend::put_ready_for_query(&mut output, TransactionState::Idle);
     socket.write(&output).await?;
     Ok(AuthenticatedCaller { identity, parameters, positions, cancel_registration })
@@ -152,6 +152,8 @@
 }
 
 /// Refuses invalid lengths of a startup message before anything is buffered for it.
+///
+/// The shortest message has 8 bytes: the length field and the protocol version.
 fn check_startup_length(input: &[u8]) -> Result<(), StartupEnd> {
     let Some(length_field) = input.first_chunk::<4>() else {
         return Ok(());
@@ -176,6 +178,7 @@
     Ok(socket.write(&output).await?)
 }
 
+/// Authenticates a caller whose user name is the team and whose password is one of the team's keys.
 async fn authenticate(
     socket: &mut FramedSocket,
     instance: &Arc<ProxyInstance>,
@@ -189,6 +192,7 @@
     let database_name = startup.get("database").map_or(user, String::as_str);
     let password =
         if user == ANONYMOUS_TEAM { None } else { Some(request_password(socket).await?) };
+    // Less than the whole timeout, so that the caller gets this refusal and not the timeout's.
     let configuration_timeout = instance.settings.startup_timeout / 2;
     if timeout(configuration_timeout, instance.wait_until_ready()).await.is_err() {
         let detail = "no configuration is in force on this instance yet";
--- a/crates/telemetry/src/event.rs
+++ b/crates/telemetry/src/event.rs
@@ -37,7 +37,7 @@
     ProgramStopped = 1002, Info, "program_stopped";
     /// A program ends with an error.
     ProgramFailed = 1003, Error, "program_failed";
-    /// The settings file was reloaded.
+    /// The settings file was reloaded, or reloading it failed.
     SettingsReloaded = 1004, Info, "settings_reloaded";
     /// Log lines were dropped by the rate limit or because the reader of the log stalled.
     LinesDropped = 1005, Warn, "lines_left_out";
@@ -91,17 +91,17 @@
     PlatformLost = 4001, Warn, "platform_lost";
     /// A platform service responds again.
     PlatformFound = 4002, Info, "platform_found";
-    /// Another instance became reachable, or its record changed.
+    /// Another instance was listed or became reachable, or its record changed.
     PeerFound = 5001, Info, "peer_found";
     /// A connection to another instance failed, or the instance is no longer listed.
     PeerLost = 5002, Warn, "peer_lost";
-    /// The allotment ledger was reconciled and a new epoch started.
+    /// The share ledger was reconciled and a new epoch started.
     LedgerReconciled = 5003, Info, "ledger_counted";
     /// An instance was unreachable for the whole grace period and was removed.
     PeerExpired = 5004, Info, "peer_forgotten";
     /// This instance acquired or lost the promotion lease.
     PromotionLeaseChanged = 5005, Info, "duty_changed";
-    /// Reading, writing, keeping or releasing the promotion lease failed.
+    /// Reading, writing, renewing or releasing the promotion lease failed.
     PromotionLeaseFailed = 5006, Warn, "duty_refused";
     /// The instance started to drain.
     DrainStarted = 6001, Info, "drain_started";
--- a/crates/telemetry/src/meter.rs
+++ b/crates/telemetry/src/meter.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
-/// Answered requests, by class.
+/// Requests, by class in the engine and by instance in the proxy.
 pub const REQUESTS: &str = "hibiscus_requests_total";
 /// Latency of statements in seconds, by class.
 pub const REQUEST_SECONDS: &str = "hibiscus_request_seconds";
@@ -13,7 +13,7 @@
 pub const REFUSALS: &str = "hibiscus_refusals_total";
 /// Retried requests, by reason.
 pub const RETRIES: &str = "hibiscus_retries_total";
-/// Answered reads, by the role of the member that served them.
+/// Served reads, by the role of the member.
 pub const READS: &str = "hibiscus_reads_total";
 /// Open caller connections.
 pub const CALLERS: &str = "hibiscus_callers";
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -12,13 +12,13 @@
     /// The length is below the size of the length field.
     #[snafu(display("frame length {length} is below 4"))]
     LengthTooSmall {
-        /// Length in the frame, in bytes.
+        /// Value of the length field, in bytes.
         length: usize,
     },
     /// The frame is larger than the receiver accepts.
     #[snafu(display("frame of {length} bytes exceeds the limit of {limit}"))]
     TooLarge {
-        /// Length in the frame, in bytes.
+        /// Value of the length field, in bytes.
         length: usize,
         /// Largest accepted length in bytes.
         limit: usize,
--- a/crates/wire/src/refusal.rs
+++ b/crates/wire/src/refusal.rs
@@ -72,7 +72,7 @@
     RouteClosed => "route_closed", "42501", NotRun;
     /// The team exceeds its rate and burst.
     RateExceeded => "rate_exceeded", "53400", NotRun;
-    /// The queue for the database's connections is full.
+    /// The team has too many requests in the queue for a member's connections.
     QueueFull => "queue_full", "53300", NotRun;
     /// The request could not start before its deadline.
     DeadlinePassed => "deadline_passed", "57014", NotRun;
@@ -92,11 +92,11 @@
     MessageTooLarge => "message_too_large", "54000", NotRun;
     /// The session token cannot be decoded.
     InvalidToken => "invalid_token", "22023", NotRun;
-    /// Authentication did not finish in time.
+    /// The startup, authentication included, did not finish in time.
     StartupTimeout => "startup_timeout", "57P05", NotRun;
     /// The instance has reached its limit of caller connections.
     TooManyCallers => "too_many_callers", "53300", NotRun;
-    /// The connection of the transaction was lost before the commit was sent.
+    /// The connection of the transaction was lost, and the transaction did not commit.
     TransactionLost => "transaction_lost", "40001", Failed;
     /// The caller cancelled the statement before it started.
     Cancelled => "cancelled", "57014", NotRun;
--- a/crates/wire/src/statement.rs
+++ b/crates/wire/src/statement.rs
@@ -74,7 +74,7 @@
     Empty,
     /// Reads only, and may run on a replica.
     Read,
-    /// Writes, or cannot be proved to be a read.
+    /// Writes, or is not known to be a read.
     Write,
     /// Begins a transaction.
     Begin,
@@ -154,6 +154,7 @@
         Self { unsupported_feature: feature, ..Self::with_kind(StatementKind::Unsupported, 1) }
     }
 
+    /// Classifies a text that the parser rejects by its first keyword.
     fn of_unparsed(text: &str) -> Self {
         let keyword = text.trim_start().split(|c: char| !c.is_ascii_alphabetic()).next();
         match keyword.unwrap_or_default().to_ascii_lowercase().as_str() {
