--- a/crates/net/src/platform.rs
+++ b/crates/net/src/platform.rs
@@ -77,6 +77,7 @@
     }
 }
 
+/// Counts an operation; any HTTP response, also one with an error status, counts as answered.
 fn record_operation(kind: &'static str, responded: bool) {
     let outcome = if responded { "answered" } else { "failed" };
     counter!(meter::PLATFORM_OPERATIONS, "kind" => kind, "outcome" => outcome).increment(1);
--- a/crates/proxy/src/document.rs
+++ b/crates/proxy/src/document.rs
@@ -38,13 +38,13 @@
             }
             () = instance.poll_requested() => {}
         }
-        let poll = poll(&instance).await;
-        match &poll {
+        let result = poll(&instance).await;
+        match &result {
             Err(error) if is_reachable => log_event!(LogEvent::PlatformLost, "{error}"),
             Ok(()) if !is_reachable => log_event!(LogEvent::PlatformFound, "head and epoch read"),
             _ => {}
         }
-        is_reachable = poll.is_ok();
+        is_reachable = result.is_ok();
     }
 }
 
--- a/crates/proxy/src/monitor.rs
+++ b/crates/proxy/src/monitor.rs
@@ -74,24 +74,24 @@
 async fn monitor_leadership(database: Arc<DatabaseHandle>) {
     let mut ticks = interval(CONFIRMATION_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut leader_connection: Option<(usize, MemberConnection)> = None;
+    let mut primary_connection: Option<(usize, MemberConnection)> = None;
     loop {
         ticks.tick().await;
         let Some((index, _)) = database.primary() else {
-            leader_connection = None;
+            primary_connection = None;
             continue;
         };
-        if leader_connection.as_ref().is_none_or(|(member, _)| *member != index) {
+        if primary_connection.as_ref().is_none_or(|(member, _)| *member != index) {
             let opened = database.members[index].open_control().await;
-            leader_connection = opened.ok().map(|connection| (index, connection));
+            primary_connection = opened.ok().map(|connection| (index, connection));
         }
-        let Some((_, connection)) = &mut leader_connection else {
+        let Some((_, connection)) = &mut primary_connection else {
             continue;
         };
         let sent_at = Instant::now();
         match timeout(CONFIRMATION_TIMEOUT, confirm_leadership(connection)).await {
             Ok(Ok(position)) => database.record_leadership_confirmation(sent_at, position),
-            _ => leader_connection = None,
+            _ => primary_connection = None,
         }
     }
 }
--- a/crates/proxy/src/session/batch.rs
+++ b/crates/proxy/src/session/batch.rs
@@ -257,6 +257,7 @@
             BatchMessage::Parse { named, statement } => self.encode_parse(*named, statement, false),
             BatchMessage::Bind { named, statement, frame } => {
                 self.ensure_prepared(*named, statement);
+                // Always succeeds, since `BatchMessage::read` has read the same frame.
                 let Ok(fields) = frontend::read_bind(frame) else {
                     return;
                 };
--- a/crates/proxy/src/session/exchange.rs
+++ b/crates/proxy/src/session/exchange.rs
@@ -55,7 +55,7 @@
     /// The response is complete; what was not sent yet is in the caller's output.
     Complete,
     /// The member is not the primary and did not run the request.
-    NotExecuted,
+    NotPrimary,
     /// The member has not applied the required position.
     Stale,
     /// The connection failed or is in an unknown state; the request may have run.
@@ -107,7 +107,7 @@
 enum RelayError {
     Member(MemberError),
     CallerDisconnected,
-    NotExecuted,
+    NotPrimary,
     Stale,
 }
 
@@ -134,7 +134,7 @@
     let mut exchange = Exchange { connection, plan, output, deadline };
     match exchange.run(request).await {
         Ok(()) => ExchangeOutcome::Complete,
-        Err(RelayError::NotExecuted) => ExchangeOutcome::NotExecuted,
+        Err(RelayError::NotPrimary) => ExchangeOutcome::NotPrimary,
         Err(RelayError::Stale) => ExchangeOutcome::Stale,
         Err(RelayError::CallerDisconnected) => ExchangeOutcome::CallerDisconnected,
         Err(RelayError::Member(error)) => ExchangeOutcome::ConnectionLost(error),
@@ -194,7 +194,7 @@
         match response {
             Ok(Ok(_)) => Ok(()),
             Ok(Err(error)) if error.is_not_primary() && !self.output.response_complete => {
-                Err(RelayError::NotExecuted)
+                Err(RelayError::NotPrimary)
             }
             Ok(Err(error)) => Err(error.into()),
             Err(_) => Err(MemberError::Timeout { limit: PROGRESS_TIMEOUT }.into()),
@@ -229,7 +229,7 @@
                         && !self.plan.in_transaction
                         && backend::read_error_field(frame.body(), b'C') == Some(NOT_PRIMARY) =>
                 {
-                    return Err(RelayError::NotExecuted);
+                    return Err(RelayError::NotPrimary);
                 }
                 _ => {}
             }
--- a/crates/proxy/src/session/serve.rs
+++ b/crates/proxy/src/session/serve.rs
@@ -35,7 +35,7 @@
 /// Outcome of an attempt.
 enum AttemptOutcome {
     /// The response is complete; what was not sent yet is in the caller's output.
-    Done,
+    Complete,
     /// The request may be retried: it did not run, or running it again is safe.
     Retry(RetryReason),
     /// The request is refused.
@@ -172,7 +172,7 @@
                 let label = plan.label.unwrap_or_default();
                 Ok(self.resolve_in_doubt_commit(&label, response_complete, request, policy).await)
             }
-            ExchangeOutcome::NotExecuted
+            ExchangeOutcome::NotPrimary
             | ExchangeOutcome::Stale
             | ExchangeOutcome::ConnectionLost(_) => {
                 drop(pinned);
@@ -230,7 +230,7 @@
                 Err(refusal) => return Ok(Err(refusal)),
             };
             let reason = match self.attempt(request, policy, &target).await? {
-                AttemptOutcome::Done => return Ok(Ok(())),
+                AttemptOutcome::Complete => return Ok(Ok(())),
                 AttemptOutcome::Refused(refusal) => return Ok(Err(refusal)),
                 AttemptOutcome::Retry(reason) => reason,
             };
@@ -320,11 +320,11 @@
             ExchangeOutcome::Complete => {
                 self.count_read(request, target);
                 self.pin_or_release(connection, target.member_index, request);
-                Ok(AttemptOutcome::Done)
+                Ok(AttemptOutcome::Complete)
             }
             ExchangeOutcome::CallerDisconnected => Err(SessionEnd::Closed),
             _ if partly_sent => Err(interrupted_response()),
-            ExchangeOutcome::NotExecuted => Ok(AttemptOutcome::Retry(RetryReason::NotPrimary)),
+            ExchangeOutcome::NotPrimary => Ok(AttemptOutcome::Retry(RetryReason::NotPrimary)),
             ExchangeOutcome::Stale => {
                 log_event!(LogEvent::AnswerStale, "database={}", self.database_entry.name);
                 Ok(AttemptOutcome::Retry(RetryReason::StaleResponse))
@@ -361,7 +361,7 @@
         match self.resolve_outcome(&label, policy.deadline).await {
             ResolvedOutcome::Committed(position) if response_complete => {
                 self.observe_position(position);
-                AttemptOutcome::Done
+                AttemptOutcome::Complete
             }
             ResolvedOutcome::Committed(position) if !policy.is_idempotent() => {
                 self.observe_position(position);
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -24,9 +24,9 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let form = "expected DATABASE/MEMBER=ZONE@IP:PORT";
-        let (name, place) = text.split_once('=').ok_or(form)?;
+        let (name, location) = text.split_once('=').ok_or(form)?;
         let (database, member) = name.split_once('/').ok_or(form)?;
-        let (zone, address) = place.split_once('@').ok_or(form)?;
+        let (zone, address) = location.split_once('@').ok_or(form)?;
         if database.is_empty() || member.is_empty() || zone.is_empty() {
             return Err(form.to_owned());
         }
--- a/crates/wire/tests/messages.rs
+++ b/crates/wire/tests/messages.rs
@@ -78,6 +78,7 @@
             }
         }
     }
+    // 16 shards with two generations of at most 512 texts each.
     assert!(cache.len() <= 16 * 2 * 512, "{} texts are held", cache.len());
 }
 
