--- a/crates/proxy/src/session/batch.rs
+++ b/crates/proxy/src/session/batch.rs
@@ -180,7 +180,7 @@
         *self = Self::default();
     }
 
-    /// Returns the total size of the messages in bytes.
+    /// Returns the total size of the messages in bytes; of a parse message only the query counts.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
@@ -257,6 +257,7 @@
             BatchMessage::Parse { named, statement } => self.encode_parse(*named, statement, false),
             BatchMessage::Bind { named, statement, frame } => {
                 self.ensure_prepared(*named, statement);
+                // Always succeeds, since `BatchMessage::read` has read the same frame.
                 let Ok(fields) = frontend::read_bind(frame) else {
                     return;
                 };
