--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -87,9 +87,9 @@
         let mut response = Vec::new();
         loop {
             let line = timeout(RESPONSE_TIMEOUT, self.lines.next_line()).await.ok()?.ok()??;
-            let last = line.starts_with("READY");
+            let is_last = line.starts_with("READY");
             response.push(line.trim_end().to_owned());
-            if last {
+            if is_last {
                 return Some(response);
             }
         }
@@ -113,6 +113,7 @@
 impl SoakCaller {
     /// Creates a caller whose random choices depend on `seed` and `number`.
     pub fn new(number: u32, seed: u64, addresses: Vec<SocketAddr>, history: SharedHistory) -> Self {
+        // Without the multiplication, a caller would repeat another caller of a neighbouring seed.
         let rng = StdRng::seed_from_u64(seed ^ u64::from(number).wrapping_mul(0x9e37_79b9));
         Self { number, rng, addresses, history, last_operation: 0 }
     }
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -68,15 +68,20 @@
         if !statement.in_transaction {
             violations.push(format!("statement {} ran outside its transaction", statement.id));
         }
-        // The first statement may be retried on another connection; later ones must stay on theirs.
+        // IDs as given by the caller: `t` starts a transaction's IDs; `s0` is BEGIN, `s1` its first
+        // statement, `s2` the second and `c` COMMIT. The first statement may be retried on another
+        // connection; later ones must run on the same one.
         if let Some((transaction, "s2")) = statement.id.split_at_checked(statement.id.len() - 2) {
             connections_by_transaction.entry(transaction).or_default().insert(statement.connection);
         } else if let Some(transaction) = statement.id.strip_suffix('c') {
             connections_by_transaction.entry(transaction).or_default().insert(statement.connection);
         }
     }
-    let moved = connections_by_transaction.iter().filter(|(_, connections)| connections.len() > 1);
-    violations.extend(moved.map(|(id, _)| format!("transaction {id} ran on several connections")));
+    let split_transactions =
+        connections_by_transaction.iter().filter(|(_, connections)| connections.len() > 1);
+    violations.extend(
+        split_transactions.map(|(id, _)| format!("transaction {id} ran on several connections")),
+    );
 }
 
 fn check_promotions(promotions: &[PromotionRequest], violations: &mut Vec<String>) {
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -45,6 +45,7 @@
 /// Query parameters of a row, scan or object request.
 #[derive(Deserialize)]
 struct KeyQuery {
+    /// Key of the row, prefix of the keys to scan, or name of the object.
     key: String,
 }
 
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MemberFault {
-    /// Partitions the member from the rest of its group; callers still reach it.
+    /// Partitions the member from the rest of its group; clients still reach it.
     pub cut: bool,
     /// Refuses new connections and drops the open ones, as after a crash.
     pub stopped: bool,
--- a/crates/standin/src/gateway_platform/group.rs
+++ b/crates/standin/src/gateway_platform/group.rs
@@ -15,7 +15,7 @@
     pub text: String,
     /// Team of the connection.
     pub team: String,
-    /// Number of the connection, unique in the group.
+    /// ID of the connection, unique in the group.
     pub connection: u64,
     /// Whether a transaction was open on the connection.
     pub in_transaction: bool,
@@ -30,7 +30,7 @@
     pub unresponsive: bool,
     /// Closes the connection instead of responding to commits and to writes outside a transaction.
     pub loses_commit_responses: bool,
-    /// Answers reads with an error while everything else works.
+    /// Responds to reads with an error while everything else works.
     pub fails_reads: bool,
     /// Team whose statements are slow, with the duration of each statement.
     pub slow_team: Option<(String, Duration)>,
@@ -47,7 +47,7 @@
     pub faults: MemberFaults,
     /// Statements in execution order.
     pub executed: Vec<ExecutedStatement>,
-    /// Numbers of the open connections.
+    /// IDs of the open connections.
     pub connections: HashSet<u64>,
     /// Peak number of open connections.
     pub peak_connections: usize,
@@ -129,7 +129,7 @@
         (self.term, self.members[member].applied)
     }
 
-    /// Opens a connection and returns its number, or `None` if the member has too many already.
+    /// Opens a connection and returns its ID, or `None` if the member has too many already.
     pub fn connect(&mut self, member: usize) -> Option<u64> {
         let limit = self.max_connections;
         let state = &mut self.members[member];
--- a/crates/standin/src/gateway_platform/member.rs
+++ b/crates/standin/src/gateway_platform/member.rs
@@ -169,11 +169,11 @@
         words: &[&str],
         is_leader: bool,
     ) -> Option<Result<String, &'static str>> {
-        let writes = match words[0] {
+        let is_write = match words[0] {
             "READ" => false,
             "WRITE" => true,
             "EXECUTE" => match self.prepared.get(words[1]) {
-                Some(writes) => *writes,
+                Some(is_write) => *is_write,
                 None => return Some(Err("NOSTMT")),
             },
             "COMMIT" if self.transaction_state == 'T' => true,
@@ -181,7 +181,7 @@
         };
         let is_commit = words[0] == "COMMIT";
         let in_transaction = self.transaction_state == 'T';
-        let modifies_data = if is_commit { !self.writes.is_empty() } else { writes };
+        let modifies_data = if is_commit { !self.writes.is_empty() } else { is_write };
         if modifies_data && !is_leader {
             return Some(Err("READONLY"));
         }
@@ -199,7 +199,7 @@
             connection: self.connection_id,
             in_transaction,
         });
-        if !writes && faults.fails_reads {
+        if !is_write && faults.fails_reads {
             return Some(Err("FAILED"));
         }
         let mut content = String::new();
@@ -209,7 +209,7 @@
             if !writes.is_empty() {
                 state.commit(writes);
             }
-        } else if writes {
+        } else if is_write {
             let (item, data) =
                 (words[words.len() - 2].to_owned(), words[words.len() - 1].to_owned());
             if in_transaction {
@@ -221,7 +221,7 @@
             let row = state.read(self.member, words[words.len() - 1]).unwrap_or_default();
             content = format!("ROW {row}\r\n");
         }
-        let is_commit_response = is_commit || writes && !in_transaction;
+        let is_commit_response = is_commit || is_write && !in_transaction;
         if is_commit_response && faults.loses_commit_responses {
             return None;
         }
--- a/crates/standin/src/gateway_platform/row_store.rs
+++ b/crates/standin/src/gateway_platform/row_store.rs
@@ -22,7 +22,7 @@
 /// Time between the acceptance of a promotion and the change of the leader.
 const PROMOTION_DURATION: Duration = Duration::from_millis(60);
 
-/// Stored row; its value is `None` once the row was deleted.
+/// Stored row; its value is `None` if the row was deleted.
 #[derive(Clone, Debug)]
 struct StoredRow {
     table: String,
@@ -48,7 +48,7 @@
 struct StoreState {
     rows: Vec<StoredRow>,
     version: u64,
-    /// Lowest version from which a feed can continue.
+    /// Lowest version from which a poll for changes can continue.
     history_start: u64,
     unavailable: bool,
     promotions: Vec<PromotionRequest>,
@@ -58,6 +58,7 @@
 #[derive(Clone, Debug)]
 pub struct RowStore {
     state: Arc<Mutex<StoreState>>,
+    /// Groups by the name of their service.
     groups: Arc<Mutex<HashMap<String, SharedGroup>>>,
     changed: Arc<Notify>,
     started_at: Instant,
@@ -117,7 +118,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Discards the change history; feeds from an earlier version get status 410.
+    /// Discards the change history; polls from an earlier version get status 410.
     pub fn compact_history(&self) {
         let mut state = self.state.lock();
         state.history_start = state.version;
--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -18,9 +18,10 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum number of log entries in a batch.
 const MAX_BATCH_ENTRIES: usize = 256;
-/// Delay before a batch that the replica did not accept, or a busy apply step, is retried.
+/// Delay before a batch that the replica did not accept, or an entry that could not be applied
+/// because the database was locked, is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(2);
-/// Interval at which replication checks whether two disconnected members can connect again.
+/// Interval at which replication polls for the end of the faults that disconnect two members.
 const LINK_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Term of the first primary of a new group.
 const INITIAL_TERM: u64 = 1;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -59,8 +59,8 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let arguments = StandinArguments::parse();
-    if let Err(status) = program::begin(PROGRAM, &arguments.logging) {
-        return status;
+    if let Err(code) = program::begin(PROGRAM, &arguments.logging) {
+        return code;
     }
     program::end(PROGRAM, run(arguments).await)
 }
--- a/crates/standin/src/member.rs
+++ b/crates/standin/src/member.rs
@@ -29,10 +29,10 @@
         /// Highest accepted term.
         promised: u64,
     },
-    /// The database rejected an operation.
+    /// An operation on the SQLite database failed.
     #[snafu(display("{source}"), context(false))]
     Sqlite {
-        /// Error reported by the database.
+        /// Cause reported by SQLite.
         source: SqliteError,
     },
 }
@@ -51,7 +51,7 @@
 pub struct LogEntry {
     /// Term under which the entry was written.
     pub term: u64,
-    /// Label chosen by the caller, by which it can resolve the outcome later.
+    /// Label chosen by the client, by which it can resolve the outcome later.
     pub label: Option<String>,
     /// Statements in execution order; empty for the first entry of a term.
     pub statements: Vec<LoggedStatement>,
@@ -94,16 +94,23 @@
 #[derive(Debug)]
 pub struct ReplicationState {
     role: MemberRole,
+    /// Term of the newest primary from which the log has an entry.
     term: u64,
+    /// Last index of the log before the first entry of `term`.
     term_start: u64,
+    /// Highest accepted term; group commands and batches of lower terms are rejected.
     promised: u64,
     followed_primary: Option<String>,
     log: Vec<Arc<LogEntry>>,
+    /// Times at which the entries after `applied` are due, in log order.
     apply_times: VecDeque<Instant>,
+    /// Index of the last entry applied to the database.
     applied: u64,
+    /// Time of the last batch from the followed primary, or of the loss of the primary role.
     last_contact: Instant,
     acks: HashMap<usize, ReplicaAck>,
     confirmation_requested_at: Option<Instant>,
+    /// Log index of each labelled transaction.
     labels: HashMap<String, u64>,
     rejected_labels: HashSet<String>,
     database: SqliteDatabase,
@@ -228,8 +235,8 @@
 
     /// Replicates from the primary of a term from now on.
     pub fn follow(&mut self, term: u64, primary: &str) -> Result<MemberStatus, MemberError> {
-        let accepted_before = term == self.promised && self.role != MemberRole::Primary;
-        if term < self.promised || (term == self.promised && !accepted_before) {
+        let is_current_term = term == self.promised && self.role != MemberRole::Primary;
+        if term < self.promised || (term == self.promised && !is_current_term) {
             return StaleTermSnafu { term, promised: self.promised }.fail();
         }
         self.promised = term;
@@ -305,9 +312,11 @@
     ///
     /// With `sent_since`, only acknowledgements of batches sent at or after it count.
     pub fn has_quorum(&self, index: u64, group_size: usize, sent_since: Option<Instant>) -> bool {
-        let target = index.max(self.term_start + 1);
+        // As in Raft, an entry of an older term counts only once the first entry of this term is
+        // replicated too.
+        let required_index = index.max(self.term_start + 1);
         let acknowledges = |ack: &&ReplicaAck| {
-            ack.match_index >= target && sent_since.is_none_or(|since| ack.sent_at >= since)
+            ack.match_index >= required_index && sent_since.is_none_or(|since| ack.sent_at >= since)
         };
         1 + self.acks.values().filter(acknowledges).count() > group_size / 2
     }
@@ -366,8 +375,8 @@
     }
 
     fn term_at(&self, index: u64) -> u64 {
-        let slot = (index as usize).checked_sub(1);
-        slot.and_then(|slot| self.log.get(slot)).map_or(0, |entry| entry.term)
+        let offset = (index as usize).checked_sub(1);
+        offset.and_then(|offset| self.log.get(offset)).map_or(0, |entry| entry.term)
     }
 
     /// Removes entries past `end` and rebuilds the database if any of them was applied.
@@ -425,9 +434,9 @@
     pub write_lock: Arc<tokio::sync::Mutex<()>>,
     /// Number of open connections, those of the control user excluded.
     pub open_connections: AtomicU32,
-    /// Number of the last session made unresponsive; all earlier ones are unresponsive too.
+    /// ID of the last session made unresponsive; all earlier ones are unresponsive too.
     pub unresponsive_up_to: AtomicU64,
-    /// Number of connections opened so far, which numbers the sessions.
+    /// Number of sessions opened so far, which is also the ID of the latest one.
     pub total_connections: AtomicU64,
     /// Number of statements executed so far, group commands excluded.
     pub executed_statements: AtomicU64,
--- a/crates/standin/src/session.rs
+++ b/crates/standin/src/session.rs
@@ -38,13 +38,14 @@
 const WRITE_THRESHOLD_BYTES: usize = 64 * 1024;
 /// Time after which the transaction of an unresponsive connection is rolled back to free its locks.
 const IDLE_TRANSACTION_TIMEOUT: Duration = Duration::from_secs(1);
-/// Interval at which a paused session polls for the end of the pause.
+/// Interval at which a paused session polls for the end of the pause; also the delay after a failed
+/// accept.
 const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Reason why a session ended.
 #[derive(Debug)]
 pub(crate) enum SessionEnd {
-    /// The caller closed the connection or sent a malformed message.
+    /// The client closed the connection or sent a malformed message.
     Closed,
     /// The member closed the connection.
     Dropped,
@@ -58,7 +59,7 @@
     }
 }
 
-/// Error that is sent to the caller.
+/// Error that is sent to the client.
 #[derive(Clone, Debug)]
 pub(crate) struct ErrorResponse {
     pub(crate) sqlstate: &'static str,
@@ -103,14 +104,20 @@
     pub(crate) input: BytesMut,
     pub(crate) output: BytesMut,
     pub(crate) connection: SqliteConnection,
+    /// Generation of the replication state when `connection` was opened.
     pub(crate) generation: u64,
     pub(crate) session_id: u64,
     pub(crate) round_trip_delay: Duration,
     pub(crate) transaction_state: TransactionState,
+    /// Write lock of the member, held while a write transaction is open.
     pub(crate) write_guard: Option<tokio::sync::OwnedMutexGuard<()>>,
+    /// Writes of the open transaction, in execution order.
     pub(crate) logged_statements: Vec<LoggedStatement>,
+    /// Label of the next commit.
     pub(crate) label: Option<String>,
+    /// Log index of the last commit or resolved transaction, for which the next confirmation waits.
     pub(crate) unconfirmed_index: Option<u64>,
+    /// A commit was made and its response is not written yet.
     pub(crate) has_pending_commit_response: bool,
     pub(crate) reported_position: Option<MemberPosition>,
     pub(crate) prepared_statements: HashMap<String, PreparedStatement>,
@@ -186,9 +193,9 @@
     let mut guard = None;
     if user != CONTROL_USER {
         sleep(Duration::from_millis(settings.connect_ms)).await;
-        let before = member.open_connections.fetch_add(1, Ordering::SeqCst);
+        let previous_count = member.open_connections.fetch_add(1, Ordering::SeqCst);
         guard = Some(ConnectionGuard(member.clone()));
-        if before >= settings.connections {
+        if previous_count >= settings.connections {
             let mut output = BytesMut::new();
             backend::put_error(&mut output, TOO_MANY_CONNECTIONS, "too many connections");
             socket.write_all(&output).await?;
--- a/crates/standin/src/session/extended.rs
+++ b/crates/standin/src/session/extended.rs
@@ -17,7 +17,7 @@
 use crate::sqlite::StatementDescription;
 use crate::value::{self, ValueFormat};
 
-/// Result of one message: an `ErrorResponse` is sent to the caller, a `SessionEnd` closes the
+/// Result of one message: an `ErrorResponse` is sent to the client, a `SessionEnd` closes the
 /// connection.
 type MessageResult = Result<Result<(), ErrorResponse>, SessionEnd>;
 
@@ -35,6 +35,7 @@
     description: StatementDescription,
     values: Vec<Value>,
     result_formats: Vec<i16>,
+    /// Rows not sent yet; `None` until the portal is executed.
     pending_rows: Option<VecDeque<BytesMut>>,
     command_tag: String,
 }
--- a/crates/standin/src/session/simple.rs
+++ b/crates/standin/src/session/simple.rs
@@ -43,6 +43,7 @@
             (Some("BEGIN" | "START"), _) if upper.contains("READ ONLY") => Self::BeginReadOnly,
             (Some("BEGIN" | "START"), _) => Self::Begin,
             (Some("COMMIT" | "END"), _) => Self::Commit,
+            // Savepoints are left to the database.
             (Some("ROLLBACK"), Some("TO")) => Self::None,
             (Some("ROLLBACK" | "ABORT"), _) => Self::Rollback,
             (Some("SET" | "SHOW" | "RESET" | "DISCARD"), _) => Self::SessionParameter,
@@ -74,6 +75,10 @@
         Ok(())
     }
 
+    /// Runs the statements in order and stops at the first error.
+    ///
+    /// With `is_implicit`, statements outside a transaction block run in one implicit transaction,
+    /// as PostgreSQL runs several statements of one message.
     async fn run_statements(
         &mut self,
         statements: &[String],
--- a/crates/standin/src/session/transaction.rs
+++ b/crates/standin/src/session/transaction.rs
@@ -10,14 +10,14 @@
 
 /// Delay before a locked database is tried again.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(1);
-/// Attempts to lock the database before the transaction fails.
+/// Attempts to lock the database before the transaction fails, for about 2 s in total.
 const MAX_BUSY_ATTEMPTS: u32 = 2_000;
 
 /// Reason why a confirmation failed.
 pub(crate) enum ConfirmError {
     /// The member lost the primary role before a majority had replicated the position.
     NotPrimary,
-    /// The caller cancelled the request.
+    /// The client cancelled the request.
     Cancelled,
 }
 
--- a/crates/standin/src/sqlite.rs
+++ b/crates/standin/src/sqlite.rs
@@ -50,11 +50,15 @@
         let code = error.sqlite_error_code();
         let sqlstate = match code {
             Some(ErrorCode::DatabaseBusy | ErrorCode::DatabaseLocked) => return Self::Busy,
+            // unique_violation
             Some(ErrorCode::ConstraintViolation) => "23505",
+            // read_only_sql_transaction
             Some(ErrorCode::ReadOnly) => "25006",
+            // syntax_error
             _ => "42601",
         };
         let message = error.to_string();
+        // undefined_table
         let sqlstate = if message.contains("no such table") { "42P01" } else { sqlstate };
         Self::Statement { sqlstate, message }
     }
@@ -63,7 +67,7 @@
 /// Column of a result.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ResultColumn {
-    /// Name reported to the caller.
+    /// Name reported to the client.
     pub name: String,
     /// OID of the PostgreSQL type.
     pub oid: u32,
@@ -166,9 +170,9 @@
             sql,
             statement.parameter_count(),
         );
-        for (slot, declared) in parameters.iter_mut().zip(declared) {
+        for (inferred, declared) in parameters.iter_mut().zip(declared) {
             if *declared != 0 {
-                *slot = *declared;
+                *inferred = *declared;
             }
         }
         Ok(StatementDescription {
@@ -230,9 +234,9 @@
 ) -> Result<(), SqliteError> {
     for (index, value) in values.iter().enumerate() {
         // SQLite numbers `$n` parameters by first appearance, so they are bound by name.
-        let slot = statement.parameter_index(&format!("${}", index + 1))?;
-        if let Some(slot) = slot {
-            statement.raw_bind_parameter(slot, value)?;
+        let bind_index = statement.parameter_index(&format!("${}", index + 1))?;
+        if let Some(bind_index) = bind_index {
+            statement.raw_bind_parameter(bind_index, value)?;
         }
     }
     Ok(())
--- a/crates/standin/src/type_inference.rs
+++ b/crates/standin/src/type_inference.rs
@@ -30,14 +30,16 @@
     };
     for (parameter, column) in visitor.references {
         let oid = find(&column).map(|column| column.oid);
-        let slot = parameter.checked_sub(1).and_then(|index| types.get_mut(index));
-        if let (Some(oid), Some(slot)) = (oid, slot) {
-            *slot = oid;
+        let parameter_type = parameter.checked_sub(1).and_then(|index| types.get_mut(index));
+        if let (Some(oid), Some(parameter_type)) = (oid, parameter_type) {
+            *parameter_type = oid;
         }
     }
     for parameter in visitor.limit_parameters {
-        if let Some(slot) = parameter.checked_sub(1).and_then(|index| types.get_mut(index)) {
-            *slot = oid::INT8;
+        if let Some(parameter_type) =
+            parameter.checked_sub(1).and_then(|index| types.get_mut(index))
+        {
+            *parameter_type = oid::INT8;
         }
     }
     types
@@ -92,13 +94,16 @@
 #[derive(Default)]
 struct ParameterVisitor {
     tables: Vec<String>,
+    /// Parameter numbers, from one, with their columns.
     references: Vec<(usize, ColumnReference)>,
+    /// Numbers of the parameters of `LIMIT` and `OFFSET`, which are 64-bit integers.
     limit_parameters: Vec<usize>,
 }
 
 impl ParameterVisitor {
-    fn record_operands(&mut self, value: &Expr, operand: &Expr) {
-        if let (Some(parameter), Some(column)) = (parameter_number(value), column_name(operand)) {
+    /// Records the column `other` for the parameter `value`; does nothing for other expressions.
+    fn record_comparison(&mut self, value: &Expr, other: &Expr) {
+        if let (Some(parameter), Some(column)) = (parameter_number(value), column_name(other)) {
             self.references.push((parameter, ColumnReference::Name(column)));
         }
     }
@@ -163,15 +168,15 @@
     fn pre_visit_expr(&mut self, expression: &Expr) -> ControlFlow<()> {
         match expression {
             Expr::BinaryOp { left, op, right } if has_same_type_operands(op) => {
-                self.record_operands(left, right);
-                self.record_operands(right, left);
+                self.record_comparison(left, right);
+                self.record_comparison(right, left);
             }
             Expr::Between { expr, low, high, .. } => {
-                self.record_operands(low, expr);
-                self.record_operands(high, expr);
+                self.record_comparison(low, expr);
+                self.record_comparison(high, expr);
             }
             Expr::In { expr, target: InTarget::List(list), .. } => {
-                list.iter().for_each(|item| self.record_operands(item, expr));
+                list.iter().for_each(|item| self.record_comparison(item, expr));
             }
             _ => {}
         }
--- a/crates/standin/src/value.rs
+++ b/crates/standin/src/value.rs
@@ -33,7 +33,7 @@
 }
 
 impl ValueFormat {
-    /// Converts a format code.
+    /// Converts a format code of the protocol: one is binary, any other is text.
     pub fn from_code(code: i16) -> Self {
         if code == 1 { Self::Binary } else { Self::Text }
     }
