--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -151,8 +151,8 @@
             let address = member::serve(group.clone(), index).await.context(IoSnafu)?;
             member_relays.push(FaultRelay::start(address).await.context(IoSnafu)?);
         }
-        // The last two bytes of the seed select a loopback network, so that runs with different seeds
-        // can be concurrent.
+        // The last two bytes of the seed select a loopback network, so that runs with different
+        // seeds can be concurrent.
         let [_, .., high, low] = settings.seed.to_be_bytes();
         let network = [127, high.wrapping_add(1).max(1), low];
         let base_port = free_base_port(network).context(IoSnafu)?;
--- a/crates/soak/tests/invariants.rs
+++ b/crates/soak/tests/invariants.rs
@@ -36,49 +36,49 @@
 }
 
 invariant_case!(
-    acknowledged_write_is_committed,
+    a_committed_acknowledged_write_is_no_violation,
     vec!["w1"],
     vec![write("w1", ReportedOutcome::Acknowledged)],
     vec![],
     0
 );
 invariant_case!(
-    acknowledged_write_is_lost,
+    a_lost_acknowledged_write_is_a_violation,
     vec![],
     vec![write("w1", ReportedOutcome::Acknowledged)],
     vec![],
     1
 );
 invariant_case!(
-    write_is_committed_twice,
+    a_write_committed_twice_is_a_violation,
     vec!["w1", "w1"],
     vec![write("w1", ReportedOutcome::Unknown)],
     vec![],
     1
 );
 invariant_case!(
-    rejected_write_is_committed,
+    a_committed_rejected_write_is_a_violation,
     vec!["w1"],
     vec![write("w1", ReportedOutcome::NotCommitted)],
     vec![],
     1
 );
 invariant_case!(
-    write_with_unknown_outcome_is_lost,
+    a_lost_write_with_an_unknown_outcome_is_no_violation,
     vec![],
     vec![write("w1", ReportedOutcome::Unknown)],
     vec![],
     0
 );
 invariant_case!(
-    statement_runs_outside_its_transaction,
+    a_statement_outside_its_transaction_is_a_violation,
     vec![],
     vec![],
     vec![statement("t1n1s0", 1, false)],
     1
 );
 invariant_case!(
-    transaction_runs_on_two_connections,
+    a_transaction_on_two_connections_is_a_violation,
     vec![],
     vec![],
     vec![statement("t1n1s2", 1, true), statement("t1n1c", 2, true)],
@@ -86,7 +86,7 @@
 );
 
 #[test]
-fn a_read_older_than_the_own_write_is_a_violation() {
+fn a_read_older_than_an_acknowledged_write_is_a_violation() {
     let group = GroupState::new("bookings", &["m-1"]);
     let regressions = vec![("w1".to_owned(), "w2".to_owned())];
     let history = CallerHistory { regressions, ..CallerHistory::default() };
--- a/crates/standin/src/gateway_platform/member.rs
+++ b/crates/standin/src/gateway_platform/member.rs
@@ -102,8 +102,8 @@
         if unresponsive {
             std::future::pending::<()>().await;
         }
-        let rest = line.strip_prefix("QUERY ")?;
-        let (id, text) = rest.split_once(' ')?;
+        let arguments = line.strip_prefix("QUERY ")?;
+        let (id, text) = arguments.split_once(' ')?;
         let outcome = self.execute(id, text).await?;
         let body = match outcome {
             Ok(content) => content,
@@ -236,8 +236,8 @@
 
 /// Splits the position that the member must have applied from the statement text.
 fn split_required_position(text: &str) -> (Option<(u64, u64)>, &str) {
-    let position = text.strip_prefix("AFTER ").and_then(|rest| {
-        let (position, text) = rest.split_once(' ')?;
+    let position = text.strip_prefix("AFTER ").and_then(|arguments| {
+        let (position, text) = arguments.split_once(' ')?;
         let (term, index) = position.split_once('.')?;
         Some(((term.parse().ok()?, index.parse().ok()?), text))
     });
--- a/crates/standin/src/member.rs
+++ b/crates/standin/src/member.rs
@@ -235,8 +235,8 @@
 
     /// Replicates from the primary of a term from now on.
     pub fn follow(&mut self, term: u64, primary: &str) -> Result<MemberStatus, MemberError> {
-        let is_current_term = term == self.promised && self.role != MemberRole::Primary;
-        if term < self.promised || (term == self.promised && !is_current_term) {
+        let may_follow_promised_term = term == self.promised && self.role != MemberRole::Primary;
+        if term < self.promised || (term == self.promised && !may_follow_promised_term) {
             return StaleTermSnafu { term, promised: self.promised }.fail();
         }
         self.promised = term;
--- a/crates/standin/src/session/simple.rs
+++ b/crates/standin/src/session/simple.rs
@@ -332,8 +332,8 @@
 }
 
 fn session_parameter_response(sql: &str) -> (String, StatementResult) {
-    let word = sql.split_whitespace().next().unwrap_or_default().to_ascii_uppercase();
-    (word, StatementResult::default())
+    let keyword = sql.split_whitespace().next().unwrap_or_default().to_ascii_uppercase();
+    (keyword, StatementResult::default())
 }
 
 fn is_sleep(sql: &str) -> bool {
@@ -349,12 +349,12 @@
 
 fn command_tag(sql: &str, result: &StatementResult) -> String {
     let mut words = sql.split_whitespace().map(str::to_ascii_uppercase);
-    let word = words.next().unwrap_or_default();
-    match word.as_str() {
+    let keyword = words.next().unwrap_or_default();
+    match keyword.as_str() {
         "SELECT" | "WITH" | "VALUES" => format!("SELECT {}", result.rows.len()),
         "INSERT" => format!("INSERT 0 {}", result.affected_rows),
-        "UPDATE" | "DELETE" => format!("{word} {}", result.affected_rows),
-        "CREATE" | "DROP" | "ALTER" => format!("{word} {}", words.next().unwrap_or_default()),
-        _ => word,
+        "UPDATE" | "DELETE" => format!("{keyword} {}", result.affected_rows),
+        "CREATE" | "DROP" | "ALTER" => format!("{keyword} {}", words.next().unwrap_or_default()),
+        _ => keyword,
     }
 }
