--- a/crates/standin/src/session/simple.rs
+++ b/crates/standin/src/session/simple.rs
@@ -43,6 +43,7 @@
             (Some("BEGIN" | "START"), _) if upper.contains("READ ONLY") => Self::BeginReadOnly,
             (Some("BEGIN" | "START"), _) => Self::Begin,
             (Some("COMMIT" | "END"), _) => Self::Commit,
+            // Savepoints are left to the database.
             (Some("ROLLBACK"), Some("TO")) => Self::None,
             (Some("ROLLBACK" | "ABORT"), _) => Self::Rollback,
             (Some("SET" | "SHOW" | "RESET" | "DISCARD"), _) => Self::SessionParameter,
@@ -74,6 +75,10 @@
         Ok(())
     }
 
+    /// Runs the statements in order and stops at the first error.
+    ///
+    /// With `is_implicit`, statements outside a transaction block run in one implicit transaction,
+    /// as PostgreSQL runs several statements of one message.
     async fn run_statements(
         &mut self,
         statements: &[String],
@@ -327,8 +332,8 @@
 }
 
 fn session_parameter_response(sql: &str) -> (String, StatementResult) {
-    let word = sql.split_whitespace().next().unwrap_or_default().to_ascii_uppercase();
-    (word, StatementResult::default())
+    let keyword = sql.split_whitespace().next().unwrap_or_default().to_ascii_uppercase();
+    (keyword, StatementResult::default())
 }
 
 fn is_sleep(sql: &str) -> bool {
@@ -344,12 +349,12 @@
 
 fn command_tag(sql: &str, result: &StatementResult) -> String {
     let mut words = sql.split_whitespace().map(str::to_ascii_uppercase);
-    let word = words.next().unwrap_or_default();
-    match word.as_str() {
+    let keyword = words.next().unwrap_or_default();
+    match keyword.as_str() {
         "SELECT" | "WITH" | "VALUES" => format!("SELECT {}", result.rows.len()),
         "INSERT" => format!("INSERT 0 {}", result.affected_rows),
-        "UPDATE" | "DELETE" => format!("{word} {}", result.affected_rows),
-        "CREATE" | "DROP" | "ALTER" => format!("{word} {}", words.next().unwrap_or_default()),
-        _ => word,
+        "UPDATE" | "DELETE" => format!("{keyword} {}", result.affected_rows),
+        "CREATE" | "DROP" | "ALTER" => format!("{keyword} {}", words.next().unwrap_or_default()),
+        _ => keyword,
     }
 }
