--- a/crates/load/src/capacity.rs
+++ b/crates/load/src/capacity.rs
@@ -61,7 +61,8 @@
         measure_slope("failover tick of all databases", "us", &[4.0, 16.0, 64.0], |size| {
             measure_failover_tick(size, time)
         }),
-        measure_slope("ledger heartbeat of all teams", "us", &[8.0, 64.0, 256.0], |size| {
+        // The name is part of the report's format.
+        measure_slope("ledger beat of all teams", "us", &[8.0, 64.0, 256.0], |size| {
             measure_ledger_heartbeat(size, time)
         }),
     ];
@@ -71,7 +72,8 @@
         let value = measure_control_cpu(instances, Duration::from_secs(options.seconds))?;
         control.push(SlopePoint { size: instances as f64, value });
     }
-    slopes.push(fit_line("control of one instance by peers", "us per second", control));
+    // The unit is part of the report's format.
+    slopes.push(fit_line("control of one instance by peers", "us a second", control));
     let text = format_report(&slopes);
     report::print_report(&slopes, json, text)
 }
