--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -200,6 +200,7 @@
         .route("/v1/promote", post(promote_document))
         .route("/v1/status", get(read_status))
         .layer(middleware::from_fn_with_state(service.clone(), authenticate))
+        // Leaves room for JSON escapes in the text of the document.
         .layer(DefaultBodyLimit::max(2 * MAX_DOCUMENT_BYTES))
         .with_state(service)
 }
@@ -272,6 +273,7 @@
             format!("document {} was never in force in environment {source:?}", body.digest);
         return Err(ApiError::new(StatusCode::CONFLICT, "never_tried", detail));
     }
+    // The store reads only the digest of this head.
     let head = DocumentHead {
         revision: 0,
         digest: body.digest.clone(),
--- a/crates/admin/src/instances.rs
+++ b/crates/admin/src/instances.rs
@@ -113,7 +113,8 @@
     views
 }
 
-/// Waits until every listed instance has confirmed a revision, at most for `ROLLOUT_TIMEOUT`.
+/// Waits until every listed instance has confirmed a revision. Starts no round of announcements
+/// after `ROLLOUT_TIMEOUT`.
 ///
 /// An instance that does not respond after that time no longer acts on an older document.
 pub async fn wait_for_rollout(records: &[InstanceRecord], revision: u64) -> RolloutReport {
@@ -155,18 +156,18 @@
 async fn announce_revision(record: &InstanceRecord, revision: u64) -> bool {
     let announcement = Announcement { revision, epoch: 0, source: String::new() };
     let mut handle = peer::connect_lazy(record.peer);
-    let reply = timeout(INSTANCE_CALL_TIMEOUT, handle.announce(announcement)).await;
-    matches!(reply, Ok(Ok(reply)) if reply.get_ref().revision >= revision)
+    let response = timeout(INSTANCE_CALL_TIMEOUT, handle.announce(announcement)).await;
+    matches!(response, Ok(Ok(response)) if response.get_ref().revision >= revision)
 }
 
 async fn request_report(record: &InstanceRecord) -> Option<ReportReply> {
     let mut handle = peer::connect_lazy(record.peer);
-    let reply = timeout(INSTANCE_CALL_TIMEOUT, handle.report(ReportRequest {})).await.ok()?;
-    reply.ok().map(tonic::Response::into_inner)
+    let response = timeout(INSTANCE_CALL_TIMEOUT, handle.report(ReportRequest {})).await.ok()?;
+    response.ok().map(tonic::Response::into_inner)
 }
 
-fn instance_report(reply: ReportReply) -> InstanceReport {
-    let summary = reply.summary.unwrap_or_default();
+fn instance_report(response: ReportReply) -> InstanceReport {
+    let summary = response.summary.unwrap_or_default();
     let member_view = |member: wire::peer::MemberReport| MemberView {
         database: member.database,
         member: member.member,
@@ -183,9 +184,9 @@
         revision: summary.revision,
         epoch: summary.epoch,
         store_down: summary.store_down,
-        phase: reply.phase,
-        callers: reply.callers,
-        members: reply.members.into_iter().map(member_view).collect(),
-        shares: reply.shares.into_iter().map(share_view).collect(),
+        phase: response.phase,
+        callers: response.callers,
+        members: response.members.into_iter().map(member_view).collect(),
+        shares: response.shares.into_iter().map(share_view).collect(),
     }
 }
--- a/crates/admin/src/main.rs
+++ b/crates/admin/src/main.rs
@@ -23,8 +23,8 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let arguments = AdminArguments::parse();
-    if let Err(status) = program::begin(PROGRAM, &arguments.logging) {
-        return status;
+    if let Err(exit_code) = program::begin(PROGRAM, &arguments.logging) {
+        return exit_code;
     }
     program::end(PROGRAM, run(arguments.admin).await)
 }
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -10,7 +10,7 @@
 
 use crate::cli::ApiArguments;
 
-/// Timeout of a request. A change is answered only after its rollout to all instances.
+/// Timeout of a request. The response to a change comes only after its rollout.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// Exit code after the API rejected a request.
 const REJECTED_EXIT_CODE: u8 = 3;
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -62,7 +62,8 @@
 }
 
 impl ControlError {
-    /// Returns the exit code for the error.
+    /// Returns the exit code for the error: 2 for an unreadable file or an invalid document, the
+    /// client's code for an error of a request, else 1.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Client { source } => source.exit_code(),
@@ -182,6 +183,7 @@
         let expected_revision = current.head.map_or(0, |head| head.revision);
         let body = ApplyRequest { expected_revision, text, request_id: new_request_id() };
         match client.post::<_, ApplyResponse>("/v1/document", &body).await {
+            // Exit code 4 stands for a conflict.
             Err(error) if error.exit_code() == 4 && attempt < MAX_EDIT_ATTEMPTS => attempt += 1,
             other => {
                 print_applied(&other?);
--- a/crates/lab/src/environment.rs
+++ b/crates/lab/src/environment.rs
@@ -24,7 +24,8 @@
 use crate::profile::DeploymentProfile;
 use crate::relay::TcpRelay;
 
-/// Bounds the wait until every instance of a starting environment is ready.
+/// Bounds the wait until every instance of a starting environment is ready, and each request that
+/// stores the first document.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Name of the environment in the platform's document store.
 pub const ENVIRONMENT: &str = "lab";
@@ -78,7 +79,7 @@
         /// Underlying error.
         source: toml::ser::Error,
     },
-    /// An instance was not ready when the start timeout expired.
+    /// An instance was not ready when the start timeout expired, or its start panicked.
     #[snafu(display("the environment did not come up within {} s", START_TIMEOUT.as_secs()))]
     StartTimeout,
 }
@@ -129,7 +130,7 @@
     /// Options with which it was started.
     pub options: LabOptions,
     /// Stand-ins for the platform and the databases.
-    pub hub: Arc<StandinServices>,
+    pub services: Arc<StandinServices>,
     /// Proxy instances.
     pub instances: Vec<RunningInstance>,
     /// Relays between each instance and the platform.
@@ -150,14 +151,14 @@
 impl LabEnvironment {
     /// Starts an environment and waits until every instance is ready and knows all primaries.
     ///
-    /// Returns [`LabError::StartTimeout`] if that takes longer than 10 s.
+    /// Returns [`LabError::StartTimeout`] if the started instances are not ready within 10 s.
     pub async fn start(options: LabOptions) -> Result<Self, LabError> {
-        let hub = Arc::new(StandinServices::default());
+        let services = Arc::new(StandinServices::default());
         let mut tasks = JoinSet::new();
-        let members = start_groups(&hub, &options).await?;
+        let members = start_groups(&services, &options).await?;
         let (listener, control_address) = listen(options.control_port).await?;
-        let api_hub = hub.clone();
-        tasks.spawn(async move { drop(control::serve(listener, api_hub).await) });
+        let api_services = services.clone();
+        tasks.spawn(async move { drop(control::serve(listener, api_services).await) });
         let platform = format!("http://{control_address}");
         let keys: Vec<String> = options.profile.teams.iter().map(|_| generate_key()).collect();
         store_document(&platform, &options, &keys).await?;
@@ -165,7 +166,7 @@
         let admin_address = start_admin(&mut tasks, &options, &platform, &operator_token).await?;
         let mut environment = Self {
             options,
-            hub,
+            services,
             instances: Vec::new(),
             platform_relays: Vec::new(),
             peer_relays: Vec::new(),
@@ -198,7 +199,7 @@
         let peer = relay.address();
         self.peer_relays.push(relay);
         let record = InstanceRecord { name, zone, peer, state: InstanceState::Live };
-        self.hub.platform.put_instance(record);
+        self.services.platform.put_instance(record);
         self.instances.push(running);
         Ok(())
     }
@@ -255,7 +256,7 @@
 
     /// Returns the database group with this name.
     pub fn group(&self, name: &str) -> Option<Arc<DatabaseGroup>> {
-        self.hub.groups.read().get(name).cloned()
+        self.services.groups.read().get(name).cloned()
     }
 }
 
@@ -271,13 +272,14 @@
 }
 
 async fn start_groups(
-    hub: &StandinServices,
+    services: &StandinServices,
     options: &LabOptions,
 ) -> Result<Vec<MemberAddress>, LabError> {
     let profile = &options.profile;
     let mut members = Vec::new();
     for (index, database) in profile.databases.iter().enumerate() {
-        // Rotates the zones, so that the databases' first primaries are in different zones.
+        // A group's first member starts as primary. The zones are rotated, so that each database
+        // has its first primary in another zone.
         let zones = (0..3).map(|offset| profile.zones[(index + offset) % 3]);
         let settings = GroupSettings {
             name: (*database).to_owned(),
@@ -311,7 +313,7 @@
                 address: *address,
             });
         }
-        hub.groups.write().insert((*database).to_owned(), Arc::new(group));
+        services.groups.write().insert((*database).to_owned(), Arc::new(group));
     }
     Ok(members)
 }
--- a/crates/lab/src/profile.rs
+++ b/crates/lab/src/profile.rs
@@ -46,7 +46,7 @@
     pub zones: [&'static str; 3],
     /// One-way delay between availability zones.
     pub zone_delay: Duration,
-    /// One-way delay to callers.
+    /// One-way delay to callers; not emulated.
     pub caller_delay: Duration,
     /// Databases, each with one member in every availability zone.
     pub databases: [&'static str; 3],
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -38,7 +38,8 @@
 
     /// Blocks or unblocks the relay in both directions.
     ///
-    /// While it is blocked, connections stay open and bytes are buffered; unblocking delivers them.
+    /// While it is blocked, open connections stay open, new ones wait, and neither bytes nor a close
+    /// is passed on. Unblocking delivers them.
     pub fn set_blocked(&self, blocked: bool) {
         self.blocked.send_replace(blocked);
     }
@@ -56,19 +57,19 @@
 }
 
 async fn relay_connection(
-    caller: TcpStream,
+    client: TcpStream,
     target: SocketAddr,
     mut blocked: watch::Receiver<bool>,
 ) -> io::Result<()> {
     let _ = blocked.wait_for(|blocked| !blocked).await;
     let server = TcpStream::connect(target).await?;
-    caller.set_nodelay(true)?;
+    client.set_nodelay(true)?;
     server.set_nodelay(true)?;
-    let (caller_read, caller_write) = caller.into_split();
+    let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
     tokio::select! {
-        copied = copy_bytes(caller_read, server_write, blocked.clone()) => copied,
-        copied = copy_bytes(server_read, caller_write, blocked) => copied,
+        copied = copy_bytes(client_read, server_write, blocked.clone()) => copied,
+        copied = copy_bytes(server_read, client_write, blocked) => copied,
     }
 }
 
--- a/crates/lab/tests/administration.rs
+++ b/crates/lab/tests/administration.rs
@@ -23,7 +23,7 @@
 
 /// Platform stand-in with the administration APIs of a trial and a production environment.
 struct TestPlatform {
-    hub: Arc<StandinServices>,
+    services: Arc<StandinServices>,
     trial: SocketAddr,
     production: SocketAddr,
 }
@@ -51,12 +51,12 @@
 }
 
 async fn start_platform() -> TestPlatform {
-    let hub = Arc::new(StandinServices::default());
+    let services = Arc::new(StandinServices::default());
     let (listener, platform) = listen().await;
-    tokio::spawn(control::serve(listener, hub.clone()));
+    tokio::spawn(control::serve(listener, services.clone()));
     let trial = start_admin(platform, "trial", None).await;
     let production = start_admin(platform, "production", Some("trial")).await;
-    TestPlatform { hub, trial, production }
+    TestPlatform { services, trial, production }
 }
 
 async fn post_json(address: SocketAddr, path: &str, body: &impl Serialize) -> Response {
@@ -96,9 +96,9 @@
 async fn plans_applies_and_reports_conflicts() {
     let platform = start_platform().await;
     let invalid = DocumentRequest { text: "format = 1\nteams = 3\n".to_owned() };
-    let refused = post_json(platform.trial, "/v1/plan", &invalid).await;
-    let reply: ErrorResponse = read_json(refused, StatusCode::UNPROCESSABLE_ENTITY).await;
-    assert!(reply.detail.contains("line 2, column 1"), "{}", reply.detail);
+    let rejected = post_json(platform.trial, "/v1/plan", &invalid).await;
+    let error: ErrorResponse = read_json(rejected, StatusCode::UNPROCESSABLE_ENTITY).await;
+    assert!(error.detail.contains("line 2, column 1"), "{}", error.detail);
     let applied: ApplyResponse =
         read_json(apply(platform.trial, 0, FIRST_DOCUMENT, "r1").await, StatusCode::OK).await;
     assert_eq!((applied.head.revision, applied.head.operator.as_str()), (1, "ann"));
@@ -108,17 +108,17 @@
     let field = "rate: 10.0 -> 20.0".to_owned();
     assert_eq!(plan.changes[0].change, ChangeKind::Changed(vec![field.clone()]));
     let conflicting = apply(platform.trial, 0, SECOND_DOCUMENT, "r2").await;
-    let reply: ErrorResponse = read_json(conflicting, StatusCode::CONFLICT).await;
-    assert_eq!(reply.head.map(|head| head.revision), Some(1));
-    assert_eq!(reply.changes[0].change, ChangeKind::Changed(vec![field]));
+    let error: ErrorResponse = read_json(conflicting, StatusCode::CONFLICT).await;
+    assert_eq!(error.head.map(|head| head.revision), Some(1));
+    assert_eq!(error.changes[0].change, ChangeKind::Changed(vec![field]));
 }
 
 #[tokio::test]
 async fn applies_a_repeated_request_once() {
     let platform = start_platform().await;
     // The platform stores the object, but the response is lost.
-    let lose = PlatformFault { lose_answers: 1, ..PlatformFault::default() };
-    platform.hub.platform.set_fault(lose.clone());
+    let lose_response = PlatformFault { lose_answers: 1, ..PlatformFault::default() };
+    platform.services.platform.set_fault(lose_response.clone());
     let first = apply(platform.trial, 0, FIRST_DOCUMENT, "r1").await;
     assert_eq!(first.status(), StatusCode::SERVICE_UNAVAILABLE);
     let repeated: ApplyResponse =
@@ -132,24 +132,24 @@
 async fn promotes_only_documents_of_the_source_environment() {
     let platform = start_platform().await;
     let direct = apply(platform.production, 0, FIRST_DOCUMENT, "r1").await;
-    let reply: ErrorResponse = read_json(direct, StatusCode::FORBIDDEN).await;
-    assert_eq!(reply.error, "promotion_only");
-    let tried: ApplyResponse =
+    let error: ErrorResponse = read_json(direct, StatusCode::FORBIDDEN).await;
+    assert_eq!(error.error, "promotion_only");
+    let applied_in_trial: ApplyResponse =
         read_json(apply(platform.trial, 0, FIRST_DOCUMENT, "r1").await, StatusCode::OK).await;
     let promote = |digest: &str, request: &str| PromoteRequest {
         expected_revision: 0,
         digest: digest.to_owned(),
         request_id: request.to_owned(),
     };
-    let untried_digest = state::credential::sha256_hex(SECOND_DOCUMENT.as_bytes());
-    let refused =
-        post_json(platform.production, "/v1/promote", &promote(&untried_digest, "p1")).await;
-    let reply: ErrorResponse = read_json(refused, StatusCode::CONFLICT).await;
-    assert_eq!(reply.error, "never_tried");
-    let body = promote(&tried.head.digest, "p2");
+    let unknown_digest = state::credential::sha256_hex(SECOND_DOCUMENT.as_bytes());
+    let rejected =
+        post_json(platform.production, "/v1/promote", &promote(&unknown_digest, "p1")).await;
+    let error: ErrorResponse = read_json(rejected, StatusCode::CONFLICT).await;
+    assert_eq!(error.error, "never_tried");
+    let body = promote(&applied_in_trial.head.digest, "p2");
     let promoted: ApplyResponse =
         read_json(post_json(platform.production, "/v1/promote", &body).await, StatusCode::OK).await;
-    assert_eq!(promoted.head.digest, tried.head.digest);
+    assert_eq!(promoted.head.digest, applied_in_trial.head.digest);
     let url = format!("http://{}/v1/document", platform.production);
     let document =
         Client::new().get(url).bearer_auth(OPERATOR_TOKEN).send().await.expect("a response");
--- a/crates/lab/tests/bad_input.rs
+++ b/crates/lab/tests/bad_input.rs
@@ -14,7 +14,7 @@
 lab_tests! {
     rejects_malformed_startups(1);
     rejects_malformed_messages(1);
-    closes_incomplete_startups_at_their_deadline(1);
+    closes_incomplete_startups_after_the_startup_timeout(1);
     serves_callers_beside_many_idle_connections(1);
 }
 
@@ -64,10 +64,15 @@
 async fn rejects_malformed_startups(environment: LabEnvironment) {
     let gigabyte = (1_u32 << 30).to_be_bytes();
     let inputs: [&[u8]; 5] = [
+        // A length that is less than its own four bytes.
         &[0, 0, 0, 3, 0, 0, 0, 0],
+        // A length above the limit.
         &gigabyte,
+        // Another protocol.
         b"GET / HTTP/1.1\r\n\r\n",
+        // Protocol version 9.0.
         &[0, 0, 0, 9, 0, 9, 0, 0, 0],
+        // Parameters that are not UTF-8.
         &[0, 0, 0, 12, 0, 3, 0, 0, 0xff, 0xfe, 0xff, 0xff],
     ];
     for input in inputs {
@@ -82,13 +87,20 @@
 
 async fn rejects_malformed_messages(environment: LabEnvironment) {
     let inputs = [
+        // A length above the limit.
         encode_message(b'Q', 1 << 30, b"SELECT"),
+        // A length that is less than its own four bytes.
         encode_message(b'Q', 3, b""),
+        // Text that is not UTF-8.
         encode_message(b'Q', 8, b"ab\xff\0"),
+        // Texts without a terminating zero.
         encode_message(b'Q', 10, b"SELECT"),
         encode_message(b'P', 6, b"ab"),
+        // A description of neither a statement nor a portal.
         encode_message(b'D', 6, b"X\0"),
+        // An unknown message type.
         encode_message(b'?', 4, b""),
+        // The greatest signed length.
         encode_message(b'B', 0x7fff_ffff, b""),
     ];
     for input in inputs {
@@ -101,7 +113,7 @@
     assert_eq!(caller.first_column("SELECT 1").await.expect("others are served"), ["1"]);
 }
 
-async fn closes_incomplete_startups_at_their_deadline(environment: LabEnvironment) {
+async fn closes_incomplete_startups_after_the_startup_timeout(environment: LabEnvironment) {
     let mut without_startup = open_socket(&environment).await;
     let mut without_password = open_socket(&environment).await;
     without_password.write_all(&startup_message(&environment)).await.expect("startup");
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! Helpers of the end-to-end tests: environments, caller connections, fault injection, waiting.
 
+// Each test target uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -15,7 +16,7 @@
 /// Bounds the wait for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Declares tests that each run in a new environment with the given number of instances.
+/// Declares tests that each run a function in a new environment with the given number of instances.
 #[macro_export]
 macro_rules! lab_tests {
     ($($name:ident($instances:literal);)*) => {
@@ -31,7 +32,7 @@
     };
 }
 
-/// Starts an environment without emulated delays.
+/// Starts an environment without emulated delays and with 100 times the profile's rates.
 pub async fn start_environment(instances: usize) -> LabEnvironment {
     let profile = DeploymentProfile::from_name(ProfileName::Volksdans);
     let options = LabOptions {
--- a/crates/lab/tests/failures.rs
+++ b/crates/lab/tests/failures.rs
@@ -139,7 +139,7 @@
     }
 }
 
-/// Stops a member from responding on its open connections, until the fault is cleared.
+/// Keeps a member's connections open without responses, until the fault is cleared.
 fn permanent_pause() -> FaultChange {
     FaultChange { paused: Some(true), ..FaultChange::default() }
 }
@@ -203,7 +203,7 @@
 async fn fails_over_while_the_platform_is_down(environment: LabEnvironment) {
     check_write_history(&environment, || async {
         let down = standin::platform::PlatformFault { down: true, ..Default::default() };
-        environment.hub.platform.set_fault(down);
+        environment.services.platform.set_fault(down);
         sleep(Duration::from_millis(3_500)).await;
         inject_fault(&environment, "gent", partition());
         wait_for("a new primary", || {
@@ -255,6 +255,7 @@
     let caller = connect(&environment, 0).await;
     caller.client.batch_execute("CREATE TABLE visits (id int)").await.expect("create");
     for number in 0..4 {
+        // Longer than the idle time of 1 s after which the proxy checks a connection before its use.
         sleep(Duration::from_millis(1_200)).await;
         let silence = FaultChange { silence: true, ..FaultChange::default() };
         inject_fault(&environment, "gent", silence);
@@ -266,7 +267,8 @@
     assert_eq!(caller.first_column("SELECT count(*) FROM visits").await.expect("read"), ["4"]);
 }
 
-/// Delays the responses of a member, so that a statement is still in flight when it is paused.
+/// Lets each statement of a member run 400 ms longer, so that it is still in flight when the member
+/// is paused.
 fn slow_response() -> FaultChange {
     FaultChange { slow_ms: Some(400), ..FaultChange::default() }
 }
--- a/crates/lab/tests/limits.rs
+++ b/crates/lab/tests/limits.rs
@@ -174,7 +174,7 @@
 async fn goes_on_through_a_store_outage(environment: LabEnvironment) {
     let callers = [connect(&environment, 0).await, connect(&environment, 1).await];
     let down = PlatformFault { down: true, ..PlatformFault::default() };
-    environment.hub.platform.set_fault(down);
+    environment.services.platform.set_fault(down);
     let deadline = Instant::now() + Duration::from_secs(6);
     while Instant::now() < deadline {
         for caller in &callers {
@@ -182,7 +182,7 @@
         }
         sleep(Duration::from_millis(20)).await;
     }
-    environment.hub.platform.set_fault(PlatformFault::default());
+    environment.services.platform.set_fault(PlatformFault::default());
 }
 
 async fn revoke_first_key(environment: &LabEnvironment) {
@@ -217,6 +217,7 @@
 async fn rejects_a_revoked_key_on_an_instance_without_the_store(environment: LabEnvironment) {
     let caller = connect(&environment, 0).await;
     environment.platform_relays[0].set_blocked(true);
+    // Longer than `VALIDATION_TTL` of 2.5 s, so that only peers can have validated the document.
     sleep(Duration::from_millis(3_500)).await;
     caller.client.simple_query("SELECT 1").await.expect("peers validate the document");
     revoke_first_key(&environment).await;
@@ -254,9 +255,9 @@
     let accepted = outcomes.iter().filter(|outcome| matches!(outcome, ReplaceOutcome::Accepted(_)));
     assert_eq!(accepted.count(), 1, "{outcomes:?}");
     let lose_responses = PlatformFault { lose_answers: 2, ..PlatformFault::default() };
-    environment.hub.platform.set_fault(lose_responses);
+    environment.services.platform.set_fault(lose_responses);
     let first_attempt = store.replace(2, &two, "request-three", "ann").await;
-    environment.hub.platform.set_fault(PlatformFault::default());
+    environment.services.platform.set_fault(PlatformFault::default());
     let repeated =
         store.replace(2, &two, "request-three", "ann").await.expect("the store responds");
     let ReplaceOutcome::Accepted(head) = repeated else {
@@ -297,7 +298,7 @@
         .await
         .expect("the open transaction continues");
     transaction.commit().await.expect("commit");
-    // Adds a key while the document changes again.
+    // Makes the database available again and adds a key in the same revision.
     change_document(&environment, |document| {
         document.databases[0].leaving = false;
         document.teams[0].keys.push(KeyHash::generate("second key"));
--- a/crates/lab/tests/postgres_driver.rs
+++ b/crates/lab/tests/postgres_driver.rs
@@ -77,8 +77,8 @@
         .expect("the token is accepted");
     let found = third.first_column("SELECT taken_by FROM seats WHERE id = 1").await.expect("read");
     assert_eq!(found, ["anna"]);
-    let broken = third.client.batch_execute("SET hibiscus.session = 'AAAA'").await;
-    assert_eq!(sqlstate(&broken.expect_err("a broken token is refused")), "22023");
+    let malformed = third.client.batch_execute("SET hibiscus.session = 'AAAA'").await;
+    assert_eq!(sqlstate(&malformed.expect_err("a malformed token is refused")), "22023");
 }
 
 async fn rejects_wrong_key_team_and_database(environment: LabEnvironment) {
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -100,6 +100,7 @@
             context.team_counts[team].lock().refused += 1;
             continue;
         };
+        // Unique over all callers, which have different seeds.
         let id = (seed << 32) + request_number;
         let is_browse = random.random::<f64>() < BROWSE_FRACTION;
         let row = random.random_range(0..BROWSE_ROWS);
@@ -209,8 +210,8 @@
             return true;
         }
         Ok(Err(error)) => {
-            let state = error.code().map_or("lost", |code| code.code());
-            *counts.error_codes.entry(state.to_owned()).or_default() += 1;
+            let sqlstate = error.code().map_or("lost", |code| code.code());
+            *counts.error_codes.entry(sqlstate.to_owned()).or_default() += 1;
             let not_run = error.as_db_error().is_some_and(|e| e.message().starts_with("not run"));
             if not_run {
                 counts.refused += 1;
--- a/crates/load/src/capacity.rs
+++ b/crates/load/src/capacity.rs
@@ -169,23 +169,23 @@
 
 /// Returns the microseconds in which the ledger handles the heartbeat of one peer.
 fn measure_ledger_heartbeat(teams: usize, time: Duration) -> f64 {
-    let mut keys: SlotMap<TeamId, ()> = SlotMap::with_key();
-    let keys: Vec<TeamId> = (0..teams).map(|_| keys.insert(())).collect();
+    let mut ids: SlotMap<TeamId, ()> = SlotMap::with_key();
+    let team_ids: Vec<TeamId> = (0..teams).map(|_| ids.insert(())).collect();
     let mut ledger = ShareLedger::default();
     ledger.enter_epoch(1);
-    keys.iter().for_each(|key| ledger.issue(*key, FULL_SHARE / 2));
+    team_ids.iter().for_each(|id| ledger.issue(*id, FULL_SHARE / 2));
     mean_round_time_us(time, |round| {
-        for key in &keys {
+        for id in &team_ids {
             let totals = TransferTotals { share: round % 1_000, tokens: 0.0 };
-            ledger.receive_grant(*key, 7, 1, totals);
-            ledger.record_acknowledgement(*key, 7, 1, round);
-            ledger.set_demand(*key, 0.1);
+            ledger.receive_grant(*id, 7, 1, totals);
+            ledger.record_acknowledgement(*id, 7, 1, round);
+            ledger.set_demand(*id, 0.1);
         }
         assert!(ledger.unacknowledged(7).is_empty());
     })
 }
 
-/// Returns the encoded size of a heartbeat request.
+/// Returns the encoded size of a heartbeat request in bytes.
 fn measure_heartbeat_bytes(teams: usize) -> f64 {
     let share = |number: usize| TeamShare {
         team: format!("team-{number}"),
--- a/crates/load/src/fault_injection.rs
+++ b/crates/load/src/fault_injection.rs
@@ -37,7 +37,7 @@
         }
         FaultKind::Store => {
             let down = PlatformFault { down: true, ..PlatformFault::default() };
-            environment.hub.platform.set_fault(down);
+            environment.services.platform.set_fault(down);
         }
         FaultKind::Instance => {
             environment.instances.pop();
--- a/crates/load/src/soak.rs
+++ b/crates/load/src/soak.rs
@@ -22,6 +22,7 @@
     SoakSnafu { seeds: seeds.join(", ") }.fail()
 }
 
+/// Runs the seeds, `jobs` at a time, and returns the failed ones.
 async fn run_seeds(options: &SoakOptions) -> Vec<u64> {
     let mut failed = Vec::new();
     let seeds: Vec<u64> = (options.seed..options.seed + options.seeds).collect();
--- a/crates/load/src/workload.rs
+++ b/crates/load/src/workload.rs
@@ -25,7 +25,7 @@
 const STATEMENT_TIME: Duration = Duration::from_micros(500);
 /// Number of probe writers that measure the longest write gap, each on another instance.
 const PROBE_COUNT: usize = 3;
-/// Index of the team of the probe writers.
+/// Index of the team of the probe writers; not the first team, which may be the flooding one.
 const PROBE_TEAM_INDEX: usize = 1;
 /// Delay between two writes of a probe writer.
 const PROBE_INTERVAL: Duration = Duration::from_millis(25);
@@ -93,7 +93,7 @@
         end: Instant::now() + options.duration(),
         profile,
     });
-    let counts = environment.hub.platform.counts();
+    let before = environment.services.platform.counts();
     let probes: Vec<_> =
         (0..PROBE_COUNT).map(|probe| tokio::spawn(probe_writes(context.clone(), probe))).collect();
     let mut callers = Vec::new();
@@ -108,16 +108,16 @@
     for caller in callers {
         caller.await.expect("a caller does not panic");
     }
-    let after = environment.hub.platform.counts();
+    let after = environment.services.platform.counts();
     let mut longest_gap = Duration::ZERO;
     for probe in probes {
         longest_gap = longest_gap.max(probe.await.expect("a probe does not panic"));
     }
     let measurements = RunMeasurements {
-        replica_read_share: replica_read_fraction(&environment),
+        replica_read_fraction: replica_read_fraction(&environment),
         longest_gap,
-        table_writes: after.writes - counts.writes,
-        table_reads: after.reads - counts.reads,
+        table_writes: after.writes - before.writes,
+        table_reads: after.reads - before.reads,
     };
     Ok(build_report(options, &context, &measurements))
 }
@@ -193,7 +193,7 @@
         (context.profile.teams[PROBE_TEAM_INDEX].name, &context.keys[PROBE_TEAM_INDEX]);
     let database = context.profile.databases[0];
     let mut client = None;
-    let mut last_response = Instant::now();
+    let mut last_success = Instant::now();
     let mut longest_gap = Duration::ZERO;
     let mut number = 0_u64;
     while Instant::now() < context.end {
@@ -201,6 +201,7 @@
             client = caller::connect(address, name, key, database, None).await.ok();
         }
         number += 1;
+        // Above the ids of the callers' bookings.
         let id = (probe as u64 + 1) << 56 | number;
         let sql = format!("INSERT INTO bookings VALUES ({id}, 'probe')");
         if let Some(connection) = &client {
@@ -208,8 +209,8 @@
                 tokio::time::timeout(REQUEST_TIMEOUT, connection.simple_query(&sql)).await;
             match response {
                 Ok(Ok(_)) => {
-                    longest_gap = longest_gap.max(last_response.elapsed());
-                    last_response = Instant::now();
+                    longest_gap = longest_gap.max(last_success.elapsed());
+                    last_success = Instant::now();
                 }
                 Ok(Err(error)) if !error.is_closed() => {}
                 _ => client = None,
@@ -217,12 +218,12 @@
         }
         tokio::time::sleep(PROBE_INTERVAL).await;
     }
-    longest_gap.max(last_response.elapsed())
+    longest_gap.max(last_success.elapsed())
 }
 
 /// Measurements that the callers do not count themselves.
 struct RunMeasurements {
-    replica_read_share: f64,
+    replica_read_fraction: f64,
     longest_gap: Duration,
     table_writes: u64,
     table_reads: u64,
@@ -244,8 +245,8 @@
             refused += counts.refused;
             sent += total;
             unknown += counts.unknown;
-            for (state, count) in &counts.error_codes {
-                *refusals.entry(state.clone()).or_default() += count;
+            for (sqlstate, count) in &counts.error_codes {
+                *refusals.entry(sqlstate.clone()).or_default() += count;
             }
         }
         missed += counts.own_writes_missed;
@@ -273,7 +274,7 @@
         seed: options.seed,
         seconds: options.seconds,
         instances: options.instances,
-        replica_read_share: measurements.replica_read_share,
+        replica_read_share: measurements.replica_read_fraction,
         longest_write_gap_ms: measurements.longest_gap.as_millis() as u64,
         worst_team: worst.team,
         worst_service_share: worst.service_share,
--- a/tools/codegen/src/main.rs
+++ b/tools/codegen/src/main.rs
@@ -26,6 +26,7 @@
     }
 }
 
+/// Returns whether the committed code is up to date. Without `check`, writes it first.
 fn run(check: bool) -> Result<bool, Box<dyn Error>> {
     let workspace = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..");
     let directory = std::env::temp_dir().join(format!("hibiscus-codegen-{}", std::process::id()));
