--- a/crates/load/src/workload.rs
+++ b/crates/load/src/workload.rs
@@ -23,7 +23,8 @@
 const TEAM_CALLERS: usize = 6;
 /// Time that each statement takes on a member in addition to its execution.
 const STATEMENT_TIME: Duration = Duration::from_micros(500);
-/// Number of probe writers that measure the longest write gap, each on another instance.
+/// Number of probe writers that measure the longest write gap, each on another instance if the
+/// workload goes through the proxies.
 const PROBE_COUNT: usize = 3;
 /// Index of the team of the probe writers; not the first team, which may be the flooding one.
 const PROBE_TEAM_INDEX: usize = 1;
@@ -153,7 +154,8 @@
     Ok((addresses, relays))
 }
 
-/// Creates and fills the tables of every database before the workload starts.
+/// Creates and fills the tables of every database before the workload starts, so that these
+/// statements do not count as its requests.
 async fn create_tables(environment: &LabEnvironment) -> Result<(), LoadError> {
     let profile = &environment.options.profile;
     let table = profile.browse_table;
@@ -171,7 +173,7 @@
     Ok(())
 }
 
-/// Returns the fraction of reads that replicas served; zero without proxies.
+/// Returns the fraction of reads that replicas served; zero if no read went through a proxy.
 fn replica_read_fraction(environment: &LabEnvironment) -> f64 {
     let sum = |count: fn(&ReadCounts) -> &AtomicU64| -> u64 {
         let instances = environment.instances.iter();
